--- a/berylproxy/durable/acceptance.py
+++ b/berylproxy/durable/acceptance.py
@@ -8,9 +8,9 @@
 from dataclasses import dataclass
 from math import ceil
 
-from berylproxy.durable.book import ACTIVE_STATUSES, Job, TaskStatus
 from berylproxy.durable.estimates import RunTimeModel
 from berylproxy.durable.fleet import EndpointState
+from berylproxy.durable.job_table import ACTIVE_STATUSES, Job, TaskStatus
 from berylproxy.durable.placement import last_useful_s, objective_s
 
 SHORTEST_RETRY_AFTER_S = 1.0  # Retry-After counts whole seconds
@@ -62,15 +62,15 @@
             is_active = task.status in ACTIVE_STATUSES
             if not is_active and not is_ahead:
                 continue
-            left_s = model.expect_s(job.spec.terms.queue, task.step.estimate_s)
+            left_s = model.expected_run_time_s(job.spec.terms.queue, task.step.estimate_s)
             if is_active:
                 left_s = max(left_s - (now_s - task.started_s), left_s / 10)
             work_core_s += left_s * task.step.needs.cpu_millicores / 1000
     capacity_cores = sum(
-        endpoint.facts.capacity.cpu_millicores
+        endpoint.info.capacity.cpu_millicores
         / 1000
         * PACKED_SHARE
-        * model.speed(endpoint.facts.life.endpoint_id)
+        * model.speed(endpoint.info.instance.endpoint_id)
         for endpoint in endpoints
         if endpoint.is_serving(now_s)
     )
@@ -90,7 +90,7 @@
     if backlog.capacity_cores <= 0:
         return SHORTEST_RETRY_AFTER_S
     own_core_s = sum(
-        model.expect_s(job.spec.terms.queue, task.step.estimate_s)
+        model.expected_run_time_s(job.spec.terms.queue, task.step.estimate_s)
         * task.step.needs.cpu_millicores
         / 1000
         for task in job.tasks.values()
--- a/berylproxy/durable/contention.py
+++ b/berylproxy/durable/contention.py
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HolderSight:
+class HolderObservation:
     """What a daemon knows of the present holder.
 
     :param silence_s: time since its last heartbeat, or since this daemon began to wait for one.
@@ -53,27 +53,27 @@
     return sum(_preference(group, other) < own_key for other in others)
 
 
-def should_claim(sight: HolderSight, own_rank: int, reached: int, listed: int) -> bool:
+def should_claim(observation: HolderObservation, own_rank: int, reached: int, listed: int) -> bool:
     """Tells whether this daemon should claim the group now.
 
     :param reached: other daemons that it has streams to, without the holder.
     :param listed: other daemons that the store lists, without the holder.
     """
-    limit_s = _suspicion_s(sight) + own_rank * RANK_DELAY_S
+    limit_s = _suspicion_s(observation) + own_rank * RANK_DELAY_S
     if 2 * reached < listed:
         limit_s += LONELY_DELAY_S
-    return sight.silence_s >= limit_s
+    return observation.silence_s >= limit_s
 
 
-def is_suspect(sight: HolderSight) -> bool:
+def is_suspect(observation: HolderObservation) -> bool:
     """Tells whether any daemon may claim the group now, without the cost of ranking them."""
-    return sight.silence_s >= _suspicion_s(sight)
+    return observation.silence_s >= _suspicion_s(observation)
 
 
-def _suspicion_s(sight: HolderSight) -> float:
-    if sight.is_leaving:
+def _suspicion_s(observation: HolderObservation) -> float:
+    if observation.is_leaving:
         return 0.0
-    return SUSPICION_S if sight.has_stream else BROKEN_STREAM_SUSPICION_S
+    return SUSPICION_S if observation.has_stream else BROKEN_STREAM_SUSPICION_S
 
 
 def may_replace(seen_fence: int, known_fence: int, read_fence: int) -> bool:
--- a/berylproxy/durable/member.py
+++ b/berylproxy/durable/coordinator.py
@@ -14,7 +14,7 @@
 from berylproxy.durable.contention import (
     FENCES_PER_CLAIM,
     Candidate,
-    HolderSight,
+    HolderObservation,
     claim_fence,
     is_suspect,
     may_hold_provisionally,
@@ -38,10 +38,10 @@
     AskState,
     CancelStored,
     DropJob,
-    HandIn,
-    HandInReply,
     HolderHeartbeat,
     JobsEnded,
+    JobSubmission,
+    JobSubmissionReply,
     PendingReply,
     StateReply,
 )
@@ -102,7 +102,7 @@
             changed.set()
 
 
-class DurableMember:
+class GroupCoordinator:
     """Follows holders, and serves the groups that this daemon holds.
 
     :ivar cores: processor share of this VM.
@@ -156,7 +156,7 @@
         self._divisions: dict[str, int] = {}
         self._fenced_off: dict[str, int] = {}
         self._task_group: TaskGroup | None = None
-        network.handle_request(HandIn, self._answer_hand_in)
+        network.handle_request(JobSubmission, self._answer_submission)
         network.handle_request(AskState, self._answer_state)
         network.handle_request(CancelStored, self._answer_cancel)
         network.handle_request(AskPending, self._answer_pending)
@@ -244,7 +244,7 @@
             counts = []
             for _ in range(2):
                 listed = await self._directory.fetch()
-                counts.append(sum(facts.service == service for facts in listed))
+                counts.append(sum(info.service == service for info in listed))
                 await sleep(DIVISION_PAUSE_S)
             if not is_settled(counts):
                 return 0
@@ -317,12 +317,12 @@
                 known.is_leaving = True
                 self.holders[group].tenure.end("the store is back: a claim takes its place")
             return
-        sight = HolderSight(
+        observation = HolderObservation(
             self._silence_s(known),
             bool(known.incarnation) and bool(self._network.links(known.incarnation)),
             known.is_leaving,
         )
-        if not is_suspect(sight):
+        if not is_suspect(observation):
             return
         members = [m for m in self.live_members() if m.identity.incarnation != known.incarnation]
         candidates = [
@@ -341,10 +341,10 @@
             return
         if self._clock.now_s() < self._resting_until_s.get(group, 0.0):
             return
-        if has_store and should_claim(sight, own_rank, len(members), listed):
+        if has_store and should_claim(observation, own_rank, len(members), listed):
             self._claiming.add(group)
-            self._task_group.start_soon(self._claim, group, sight)
-        elif not has_store and should_claim(sight, own_rank, listed, listed):
+            self._task_group.start_soon(self._claim, group, observation)
+        elif not has_store and should_claim(observation, own_rank, listed, listed):
             self._hold_provisionally(group, known, own_rank)
 
     def _hold_provisionally(self, group: str, known: KnownHolder, own_rank: int) -> None:
@@ -374,7 +374,7 @@
                 return member.identity.daemon_id
         return ""
 
-    async def _claim(self, group: str, sight: HolderSight) -> None:
+    async def _claim(self, group: str, observation: HolderObservation) -> None:
         try:
             revision = await self._try_claim(group)
         except StoreError as error:
@@ -391,9 +391,9 @@
                 extra={
                     "group": group,
                     "fence": fence,
-                    "holder_silence_s": round(sight.silence_s, 3),
-                    "holder_stream": sight.has_stream,
-                    "holder_leaving": sight.is_leaving,
+                    "holder_silence_s": round(observation.silence_s, 3),
+                    "holder_stream": observation.has_stream,
+                    "holder_leaving": observation.is_leaving,
                 },
             )
             await self._hold(group, fence, revision)
@@ -461,7 +461,9 @@
                 usable = sum(
                     e.may_start(self._clock.now_s()) for e in holder.group.endpoints.values()
                 )
-                rows.append(("open_jobs", "Jobs that have not ended", len(holder.book.jobs), group))
+                rows.append(
+                    ("open_jobs", "Jobs that have not ended", len(holder.job_table.jobs), group)
+                )
                 rows.append(("usable_endpoints", "Endpoints that get tasks", usable, group))
         return [(name, text, float(value), group) for name, text, value, group in rows]
 
@@ -476,8 +478,8 @@
         return {
             job.entry
             for holder in self.holders.values()
-            for job in holder.book.jobs.values()
-            if job.entry and not job.spec.is_kept
+            for job in holder.job_table.jobs.values()
+            if job.entry and not job.spec.is_durable
         }
 
     def _has_store_elsewhere(self) -> bool:
@@ -535,9 +537,11 @@
             raise NotHolderError("not the holder", retry_after_s=HEARTBEAT_INTERVAL_S)
         return holder
 
-    async def _answer_hand_in(self, sender: DaemonIdentity, message: HandIn) -> HandInReply:
+    async def _answer_submission(
+        self, sender: DaemonIdentity, message: JobSubmission
+    ) -> JobSubmissionReply:
         holder = self.require_holder(message.group)
-        return await holder.hand_in(message, sender.incarnation)
+        return await holder.submit(message, sender.incarnation)
 
     async def _answer_state(self, _: DaemonIdentity, message: AskState) -> StateReply:
         return StateReply(await self.require_holder(message.group).find_state(message.job_id))
--- a/berylproxy/durable/estimates.py
+++ b/berylproxy/durable/estimates.py
@@ -33,7 +33,7 @@
     _speeds: dict[str, float] = field(default_factory=dict)
     _total_log_speed: float = 0.0
 
-    def expect_s(self, queue: str, estimate_s: float) -> float:
+    def expected_run_time_s(self, queue: str, estimate_s: float) -> float:
         """Expects a task's run time at speed 1: between its estimate and its queue's mean."""
         history = self._queues.get(queue)
         if history is None or not history.seen:
@@ -58,7 +58,7 @@
     def learn(self, queue: str, estimate_s: float, endpoint_id: str, run_time_s: float) -> None:
         """Takes the run time of a task that was done."""
         observed = log(max(run_time_s, SHORTEST_RUN_TIME_S))
-        expected = log(self.expect_s(queue, estimate_s))
+        expected = log(self.expected_run_time_s(queue, estimate_s))
         speed = self._speeds.get(endpoint_id, self._mean_log_speed())
         limit = log(MAX_SPEED_RATIO)
         shown = min(max(expected - observed, -limit), limit)
--- a/berylproxy/durable/fleet.py
+++ b/berylproxy/durable/fleet.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 from math import inf
 
-from berylproxy.durable.models import EndedRun, EndpointFacts, Needs, TaskName
+from berylproxy.durable.models import EndedRun, EndpointInfo, Needs, TaskName
 
 FIRST_QUARANTINE_S = 0.5  # one task of a second or less may show whether it works again
 LONGEST_QUARANTINE_S = 4.0
@@ -18,12 +18,12 @@
     :ivar read_s: monotonic time of that; 0 before the first.
     """
 
-    facts: tuple[EndpointFacts, ...] = ()
+    info: tuple[EndpointInfo, ...] = ()
     read_s: float = 0.0
 
-    def update(self, facts: tuple[EndpointFacts, ...], now_s: float) -> None:
+    def update(self, info: tuple[EndpointInfo, ...], now_s: float) -> None:
         """Takes a list that was just read."""
-        self.facts, self.read_s = facts, now_s
+        self.info, self.read_s = info, now_s
 
 
 @dataclass(slots=True, eq=False)
@@ -60,7 +60,7 @@
     :ivar closed_until_s: monotonic time before which nothing is started there.
     """
 
-    facts: EndpointFacts
+    info: EndpointInfo
     present: dict[tuple[TaskName, int], PresentRun] = field(default_factory=dict)
     ends: dict[int, EndedRun] = field(default_factory=dict)
     released: set[int] = field(default_factory=set)
@@ -92,12 +92,12 @@
     @property
     def room(self) -> Needs:
         """What is left of its capacity; stopping runs still count."""
-        return self.facts.capacity - self.used
+        return self.info.capacity - self.used
 
     @property
     def free_millicores(self) -> int:
         """What is left of its processor, in thousandths of a core."""
-        return self.facts.capacity.cpu_millicores - self.used.cpu_millicores
+        return self.info.capacity.cpu_millicores - self.used.cpu_millicores
 
     def may_start(self, now_s: float) -> bool:
         """Tells whether tasks may be started there now."""
@@ -108,7 +108,7 @@
         return (
             self.is_contacted
             and self.is_listed
-            and not self.facts.leaving
+            and not self.info.leaving
             and not self.missed_calls
             and now_s >= self.closed_until_s
         )
--- a/berylproxy/durable/entry.py
+++ b/berylproxy/durable/frontend.py
@@ -9,15 +9,16 @@
 
 from berylproxy.clock import Clock
 from berylproxy.durable.acceptance import TOO_LATE
+from berylproxy.durable.best_effort import JobGivenUpError
+from berylproxy.durable.coordinator import GroupCoordinator
 from berylproxy.durable.ledger import NotHolderError, TenureLostError
-from berylproxy.durable.member import DurableMember
 from berylproxy.durable.messages import (
     AskPending,
     AskState,
     CancelStored,
     DropJob,
-    HandIn,
-    HandInReply,
+    JobSubmission,
+    JobSubmissionReply,
     PendingReply,
     StateReply,
 )
@@ -25,7 +26,6 @@
 from berylproxy.durable.ports import JobStore
 from berylproxy.durable.records import decode_final, final_key, open_key
 from berylproxy.durable.telemetry import Telemetry
-from berylproxy.durable.unkept import JobGivenUpError
 from berylproxy.errors import BerylproxyError
 from berylproxy.peers.membership import PeerUnreachableError
 from berylproxy.peers.network import TcpPeerNetwork
@@ -60,31 +60,31 @@
     code = "not_known_now"
 
 
-class EntryDesk:
+class JobFrontend:
     """Answers callers' requests about durable jobs."""
 
     def __init__(
         self,
         network: TcpPeerNetwork,
-        member: DurableMember,
+        coordinator: GroupCoordinator,
         store: JobStore,
         clock: Clock,
         telemetry: Telemetry,
     ) -> None:
         self._network = network
-        self._member = member
+        self._coordinator = coordinator
         self._store = store
         self._clock = clock
         self._telemetry = telemetry
         self._states: OrderedDict[str, JobState] = OrderedDict()
         self._pending: dict[str, int] = {}
 
-    def take_ended(self, states: dict[str, str]) -> None:
+    def record_ended_jobs(self, states: dict[str, str]) -> None:
         """Keeps the outcomes that holders tell of."""
         for job_id, state in states.items():
             self._remember(job_id, JobState(state))
 
-    async def carry_out(self, spec: JobSpec, wait_s: float) -> JobState:
+    async def run_best_effort(self, spec: JobSpec, wait_s: float) -> JobState:
         """Has a job carried out that isn't kept; returns how it ended.
 
         It is handed in again to each new holder while the caller waits. When the caller goes away,
@@ -100,9 +100,9 @@
                 elapsed_s = self._clock.now_s() - started_s
                 if elapsed_s >= wait_s or (not attempt and elapsed_s > NO_HOLDER_WAIT_S):
                     break
-                group = self._member.group_of(spec.terms.service, spec.job_id)
-                message = HandIn(group, spec, attempt, wait_s - elapsed_s, former_fence)
-                fence = self._member.known_fence(group)
+                group = self._coordinator.group_of(spec.terms.service, spec.job_id)
+                message = JobSubmission(group, spec, attempt, wait_s - elapsed_s, former_fence)
+                fence = self._coordinator.known_fence(group)
                 try:
                     reply = await self._ask_while_held(group, message, wait_s - elapsed_s)
                 except PeerUnreachableError:
@@ -135,7 +135,7 @@
             raise NotKnownError("it is not known whether the job has run")
         raise NotAcceptedError("no daemon can carry out the job now", retry_after_s=1.0)
 
-    async def hand_in(self, spec: JobSpec, wait_s: float) -> None:
+    async def submit_durable(self, spec: JobSpec, wait_s: float) -> None:
         """Has a job stored; returns once it is.
 
         :param wait_s: how long the caller waits for an answer.
@@ -149,7 +149,9 @@
             left_s = wait_s - elapsed_s
             if left_s <= 0 or (not may_be_stored and elapsed_s > NO_HOLDER_WAIT_S):
                 break
-            message = HandIn(self._member.group_of(spec.terms.service, spec.job_id), spec)
+            message = JobSubmission(
+                self._coordinator.group_of(spec.terms.service, spec.job_id), spec
+            )
             try:
                 reply = await self._ask_to_store(message, min(left_s, HAND_IN_TIMEOUT_S))
             except (TenureLostError, PeerUnreachableError, StoreUnavailableError):
@@ -171,43 +173,45 @@
             raise NotKnownError("it is not known whether the job is stored")
         raise NotAcceptedError("no daemon can store the job now", retry_after_s=1.0)
 
-    async def _ask_to_store(self, message: HandIn, timeout_s: float) -> HandInReply:
+    async def _ask_to_store(self, message: JobSubmission, timeout_s: float) -> JobSubmissionReply:
         return await self._ask(
             message.group,
             message,
-            lambda holder: holder.hand_in(message, self._member.own_incarnation),
+            lambda holder: holder.submit(message, self._coordinator.own_incarnation),
             timeout_s,
         )
 
     def _log_unanswered(self, spec: JobSpec, started_s: float, may_have_arrived: bool) -> None:
-        group = self._member.group_of(spec.terms.service, spec.job_id)
+        group = self._coordinator.group_of(spec.terms.service, spec.job_id)
         logger.info(
             "job given up: no holder answered in time",
             extra={
                 "job": spec.job_id,
                 "group": group,
-                "holder": self._member.holder_incarnation(group),
+                "holder": self._coordinator.holder_incarnation(group),
                 "waited_s": round(self._clock.now_s() - started_s, 3),
                 "may_have_arrived": may_have_arrived,
             },
         )
 
     def _drop(self, group: str, job_id: str) -> None:
-        incarnation = self._member.holder_incarnation(group)
-        if incarnation == self._member.own_incarnation:
-            holder = self._member.holders.get(group)
+        incarnation = self._coordinator.holder_incarnation(group)
+        if incarnation == self._coordinator.own_incarnation:
+            holder = self._coordinator.holders.get(group)
             if holder is not None:
                 holder.drop(job_id, "its caller here has gone")
         elif incarnation:
             self._network.notify(incarnation, DropJob(group, job_id))
 
-    async def _ask_while_held(self, group: str, message: HandIn, timeout_s: float) -> HandInReply:
+    async def _ask_while_held(
+        self, group: str, message: JobSubmission, timeout_s: float
+    ) -> JobSubmissionReply:
         """Asks the holder and waits for its answer for as long as it is the holder.
 
         :raises PeerUnreachableError: if the message certainly did not reach a holder.
         :raises BerylproxyError: if it may have.
         """
-        known = self._member.known.get(group)
+        known = self._coordinator.known.get(group)
         if known is None:
             raise PeerUnreachableError(f"no holder of {group} is known")
         changed, replies, errors = known.changed, [], []
@@ -217,7 +221,7 @@
                 reply = await self._ask(
                     group,
                     message,
-                    lambda holder: holder.hand_in(message, self._member.own_incarnation),
+                    lambda holder: holder.submit(message, self._coordinator.own_incarnation),
                     timeout_s,
                 )
                 replies.append(reply)
@@ -255,7 +259,7 @@
             return await self._read_state(groups, job_id)
 
     def _groups_of(self, services: list[str], job_id: str) -> list[str]:
-        groups = [self._member.group_of(service, job_id) for service in services]
+        groups = [self._coordinator.group_of(service, job_id) for service in services]
         if not all(groups):
             raise NotKnownError("the groups of a service are not known yet")
         return groups
@@ -274,7 +278,7 @@
 
         :raises NotKnownError: if that can't be found out now.
         """
-        groups = self._member.groups_of(service)
+        groups = self._coordinator.groups_of(service)
         if not groups:
             raise NotKnownError("the groups of a service are not known yet")
         return sum([await self._count_in(group, queue, wait_s) for group in groups])
@@ -352,11 +356,11 @@
         self, group: str, message: Any, call: Callable[[Any], Awaitable[Any]], timeout_s: float
     ) -> Any:
         """Asks the holder of a group, here or at another daemon."""
-        incarnation = self._member.holder_incarnation(group)
-        if incarnation == self._member.own_incarnation:
+        incarnation = self._coordinator.holder_incarnation(group)
+        if incarnation == self._coordinator.own_incarnation:
             try:
                 with fail_after(timeout_s):
-                    return await call(self._member.require_holder(group))
+                    return await call(self._coordinator.require_holder(group))
             except TimeoutError as error:
                 raise NotKnownError(f"no answer in {timeout_s} s") from error
         if not incarnation:
@@ -369,7 +373,7 @@
             self._states.popitem(last=False)
 
 
-def _make_refusal(reply: HandInReply) -> NotAcceptedError:
+def _make_refusal(reply: JobSubmissionReply) -> NotAcceptedError:
     error_type = OverloadedError if reply.refusal == TOO_LATE else NotAcceptedError
     return error_type(reply.refusal, retry_after_s=reply.retry_after_s)
 
--- a/berylproxy/durable/group.py
+++ b/berylproxy/durable/group.py
@@ -6,14 +6,14 @@
 from anyio import Event, move_on_after, sleep
 from logbook import Logger
 
-from berylproxy.durable.book import ACTIVE_STATUSES, Job, JobBook, Task, TaskStatus
 from berylproxy.durable.estimates import RunTimeModel
 from berylproxy.durable.fleet import EndpointList, EndpointState, PresentRun
+from berylproxy.durable.job_table import ACTIVE_STATUSES, Job, JobTable, Task, TaskStatus
 from berylproxy.durable.models import (
     EndedRun,
     EndKind,
-    EndpointFacts,
-    EndpointLife,
+    EndpointInfo,
+    EndpointInstance,
     EndpointReport,
     RunningTask,
     TaskName,
@@ -23,7 +23,7 @@
     EndpointCalls,
     EndpointDirectory,
     FencedOffError,
-    OtherLifeError,
+    OtherInstanceError,
     StartOrder,
     StartOutcome,
 )
@@ -62,87 +62,87 @@
         tenure: Tenure,
         directory: EndpointDirectory,
         known_list: EndpointList,
-        book: JobBook,
+        job_table: JobTable,
         model: RunTimeModel,
-        covers: Callable[[EndpointFacts], bool],
+        covers: Callable[[EndpointInfo], bool],
         on_end: Callable[[EndpointState, EndedRun], None],
         on_final: Callable[[Job], None],
     ) -> None:
-        self.endpoints: dict[EndpointLife, EndpointState] = {}
+        self.endpoints: dict[EndpointInstance, EndpointState] = {}
         self.changed = Event()
         self.has_list = False
         self._tenure = tenure
         self._clock = tenure.clock
         self._directory = directory
         self._known_list = known_list
-        self._book = book
+        self._job_table = job_table
         self._model = model
         self._covers = covers
         self._on_end = on_end
         self._on_final = on_final
-        self._calls: dict[EndpointLife, EndpointCalls] = {}
-        self._wakeups: dict[EndpointLife, Event] = {}
-        self._missing_since_s: dict[EndpointLife, float] = {}
+        self._calls: dict[EndpointInstance, EndpointCalls] = {}
+        self._wakeups: dict[EndpointInstance, Event] = {}
+        self._missing_since_s: dict[EndpointInstance, float] = {}
         self._orphan_ends: list[tuple[EndpointState, int]] = []
         self._listed_s = tenure.began_s
 
     async def follow_directory(self) -> None:
         """Keeps the list of endpoints up to date until cancelled."""
         if self._known_list.read_s:
-            self._take_directory(self._known_list.facts)
+            self._take_directory(self._known_list.info)
         while True:
             try:
-                facts = await self._directory.fetch()
-                self._known_list.update(facts, self._clock.now_s())
-                self._take_directory(facts)
+                info = await self._directory.fetch()
+                self._known_list.update(info, self._clock.now_s())
+                self._take_directory(info)
             except StoreUnavailableError as error:
                 logger.debug("the list of endpoints is not available: {}", error.message)
             with move_on_after(DIRECTORY_INTERVAL_S):
                 await sleep(DIRECTORY_INTERVAL_S if self.has_list else RETRY_PAUSE_S)
 
-    def _take_directory(self, listed: tuple[EndpointFacts, ...]) -> None:
+    def _take_directory(self, listed: tuple[EndpointInfo, ...]) -> None:
         now_s = self._clock.now_s()
         was_away = now_s - self._listed_s > 2 * DIRECTORY_INTERVAL_S + 1
         self._listed_s = now_s
-        lives = {facts.life: facts for facts in listed if self._covers(facts)}
-        for life, facts in lives.items():
-            self._missing_since_s.pop(life, None)
-            endpoint = self.endpoints.get(life)
+        lives = {info.instance: info for info in listed if self._covers(info)}
+        for instance, info in lives.items():
+            self._missing_since_s.pop(instance, None)
+            endpoint = self.endpoints.get(instance)
             if endpoint is None:
-                self._meet(facts)
+                self._meet(info)
                 continue
-            if facts.leaving and not endpoint.facts.leaving:
+            if info.leaving and not endpoint.info.leaving:
                 logger.info(
-                    "endpoint is leaving", extra=self._tenure.extra(endpoint=life.endpoint_id)
+                    "endpoint is leaving", extra=self._tenure.extra(endpoint=instance.endpoint_id)
                 )
-            endpoint.facts = facts
+            endpoint.info = info
             endpoint.is_listed = True
         grace_s = UNLISTED_GRACE_S if was_away else 0.0
-        for life, endpoint in self.endpoints.items():
-            if life not in lives:
-                since_s = self._missing_since_s.setdefault(life, now_s + grace_s)
+        for instance, endpoint in self.endpoints.items():
+            if instance not in lives:
+                since_s = self._missing_since_s.setdefault(instance, now_s + grace_s)
                 if now_s >= since_s:
                     endpoint.is_listed = False
         self.has_list = True
         self.changed.set()
 
-    def _meet(self, facts: EndpointFacts) -> None:
-        endpoint = EndpointState(facts)
-        self.endpoints[facts.life] = endpoint
-        self._calls[facts.life] = self._directory.connect(facts)
-        self._wakeups[facts.life] = Event()
+    def _meet(self, info: EndpointInfo) -> None:
+        endpoint = EndpointState(info)
+        self.endpoints[info.instance] = endpoint
+        self._calls[info.instance] = self._directory.connect(info)
+        self._wakeups[info.instance] = Event()
         self._tenure.spawn(self._follow_endpoint, endpoint)
 
     async def _follow_endpoint(self, endpoint: EndpointState) -> None:
-        life = endpoint.facts.life
-        calls = self._calls[life]
-        while life in self.endpoints:
+        instance = endpoint.info.instance
+        calls = self._calls[instance]
+        while instance in self.endpoints:
             if endpoint.is_idle:
                 if not endpoint.is_listed:
                     self._forget(endpoint, "it is not listed and runs nothing")
                     break
-                await self._wakeups[life].wait()
-            self._wakeups[life] = Event()
+                await self._wakeups[instance].wait()
+            self._wakeups[instance] = Event()
             wait_s = 0.0 if self._must_look_at_once(endpoint) else RENEWAL_WAIT_S
             acknowledged = endpoint.next_acknowledgement()
             # A lease that each unanswered call may have extended would never be known to lapse.
@@ -153,21 +153,21 @@
             except FencedOffError:
                 self._tenure.end("an endpoint has a newer holder")
                 return
-            except OtherLifeError:
+            except OtherInstanceError:
                 self._forget(endpoint, "another life answers at its address")
                 return
             except EndpointCallError as error:
                 self._note_missed(endpoint, calls, error)
                 await sleep(RETRY_PAUSE_S)
                 continue
-            if report.born_ms != life.born_ms and report.born_ms and life.born_ms:
+            if report.born_ms != instance.born_ms and report.born_ms and instance.born_ms:
                 self._forget(endpoint, "it was started anew")
                 return
             self._take_report(endpoint, report)
             await self._settle_uncertain(endpoint, calls)
             if endpoint.ends:
                 with move_on_after(END_POLL_S):
-                    await self._wakeups[life].wait()
+                    await self._wakeups[instance].wait()
 
     def _must_look_at_once(self, endpoint: EndpointState) -> bool:
         return (
@@ -184,7 +184,7 @@
             logger.info(
                 "endpoint does not answer: {}",
                 error.message,
-                extra=self._tenure.extra(endpoint=endpoint.facts.life.endpoint_id),
+                extra=self._tenure.extra(endpoint=endpoint.info.instance.endpoint_id),
             )
         endpoint.missed_calls += 1
         lapsed_s = max(calls.lease_end_s(), endpoint.heard_s + SETTLED_SILENCE_S)
@@ -199,36 +199,41 @@
 
     def _drop_run(self, endpoint: EndpointState, name: TaskName, run: int, reason: str) -> None:
         endpoint.vacate(name, run)
-        task = self._book.find_task(name)
-        if task is None or task.life != endpoint.facts.life or task.run != run:
+        task = self._job_table.find_task(name)
+        if task is None or task.instance != endpoint.info.instance or task.run != run:
             return
         if task.status in ACTIVE_STATUSES:
             logger.info(
                 "task waits again: {}",
                 reason,
                 extra=self._tenure.extra(
-                    job=name.job_id, task=list(name[1:]), run=run, endpoint=task.life.endpoint_id
+                    job=name.job_id,
+                    task=list(name[1:]),
+                    run=run,
+                    endpoint=task.instance.endpoint_id,
                 ),
             )
-            self._book.note_not_running(task)
+            self._job_table.note_not_running(task)
 
     def _forget(self, endpoint: EndpointState, reason: str) -> None:
-        life = endpoint.facts.life
+        instance = endpoint.info.instance
         logger.info(
-            "endpoint forgotten: {}", reason, extra=self._tenure.extra(endpoint=life.endpoint_id)
+            "endpoint forgotten: {}",
+            reason,
+            extra=self._tenure.extra(endpoint=instance.endpoint_id),
         )
         self._lapse_all(endpoint)
-        self._tenure.spawn(self._calls[life].close)
-        self.endpoints.pop(life, None)
-        self._model.forget(life.endpoint_id)
-        self._missing_since_s.pop(life, None)
+        self._tenure.spawn(self._calls[instance].close)
+        self.endpoints.pop(instance, None)
+        self._model.forget(instance.endpoint_id)
+        self._missing_since_s.pop(instance, None)
 
     def _take_report(self, endpoint: EndpointState, report: EndpointReport) -> None:
         now_s = self._clock.now_s()
         if endpoint.missed_calls:
             logger.info(
                 "endpoint answers again",
-                extra=self._tenure.extra(endpoint=endpoint.facts.life.endpoint_id),
+                extra=self._tenure.extra(endpoint=endpoint.info.instance.endpoint_id),
             )
         endpoint.missed_calls = 0
         endpoint.heard_s = now_s
@@ -247,29 +252,29 @@
         self.changed.set()
 
     def _take_running(self, endpoint: EndpointState, running: RunningTask, now_s: float) -> None:
-        life = endpoint.facts.life
-        task = self._book.find_task(running.name)
+        instance = endpoint.info.instance
+        task = self._job_table.find_task(running.name)
         present = endpoint.present.get((running.name, running.run))
         if present is None:
-            needs = task.step.needs if task is not None else endpoint.facts.capacity
+            needs = task.step.needs if task is not None else endpoint.info.capacity
             present = endpoint.occupy(running.name, running.run, needs)
         present.answered_s = min(present.answered_s, now_s)
         present.is_uncertain = False
-        present.is_orphan = task is None and running.name.job_id not in self._book.jobs
+        present.is_orphan = task is None and running.name.job_id not in self._job_table.jobs
         if present.is_orphan and self._may_have_orphans(endpoint, now_s):
             return  # its job may be handed in again
-        if task is None or not self._may_adopt(task, life, running.run):
+        if task is None or not self._may_adopt(task, instance, running.run):
             self.stop_soon(endpoint, running.name, running.run)
             return
-        self._book.note_running(task, life, running.run, now_s)
+        self._job_table.note_running(task, instance, running.run, now_s)
         task.saved = running.saved or task.saved
         if running.progress_percent != task.progress_percent:
             task.progress_percent = running.progress_percent
             task.progressed_s = now_s
 
-    def _may_adopt(self, task: Task, life: EndpointLife, run: int) -> bool:
+    def _may_adopt(self, task: Task, instance: EndpointInstance, run: int) -> bool:
         if task.status in ACTIVE_STATUSES:
-            return task.life == life and task.run == run
+            return task.instance == instance and task.run == run
         if task.status is TaskStatus.UNRESOLVED:
             return True
         return task.status is TaskStatus.WAITING and run >= task.run
@@ -277,17 +282,17 @@
     def _take_end(self, endpoint: EndpointState, end: EndedRun, now_s: float) -> None:
         endpoint.vacate(end.name, end.run)
         self._tenure.telemetry.count("runs_ended", kind=end.kind.value)
-        task = self._book.find_task(end.name)
-        job = self._book.jobs.get(end.name.job_id)
+        task = self._job_table.find_task(end.name)
+        job = self._job_table.jobs.get(end.name.job_id)
         if job is None and self._may_have_orphans(endpoint, now_s):
             self._orphan_ends.append((endpoint, end.number))
-        elif job is None or not job.spec.is_kept:
+        elif job is None or not job.spec.is_durable:
             endpoint.release(end.number)
         else:
             self._on_end(endpoint, end)
         if task is None or job is None:
             return
-        is_own = task.life == endpoint.facts.life and task.run == end.run
+        is_own = task.instance == endpoint.info.instance and task.run == end.run
         if end.kind is EndKind.FAILED:
             self._note_failed(endpoint, task, end, now_s)
         elif end.kind is EndKind.DONE:
@@ -296,7 +301,7 @@
                 self._model.learn(
                     job.spec.terms.queue,
                     task.step.estimate_s,
-                    endpoint.facts.life.endpoint_id,
+                    endpoint.info.instance.endpoint_id,
                     now_s - task.started_s,
                 )
         elif end.kind is not EndKind.STOPPED:
@@ -305,14 +310,14 @@
                 end.kind.value,
                 extra=self._tenure.extra(job=end.name.job_id, task=list(end.name[1:]), run=end.run),
             )
-        self._book.note_end(task, end, endpoint.facts.life)
+        self._job_table.note_end(task, end, endpoint.info.instance)
         if job.is_final:
             self._on_final(job)
 
     def _note_failed(
         self, endpoint: EndpointState, task: Task, end: EndedRun, now_s: float
     ) -> None:
-        life = endpoint.facts.life
+        instance = endpoint.info.instance
         is_closed = not task.failed_at and endpoint.note_failure(now_s)
         if is_closed:
             self._tenure.telemetry.count("endpoint_closures", reason="failures")
@@ -322,7 +327,7 @@
                 job=end.name.job_id,
                 task=list(end.name[1:]),
                 run=end.run,
-                endpoint=life.endpoint_id,
+                endpoint=instance.endpoint_id,
                 failures_of_task=len(task.failed_runs) + 1,
                 failures_of_endpoint=endpoint.failures_in_row,
                 endpoint_closed=is_closed,
@@ -346,7 +351,7 @@
         self._tenure.spawn(self._stop, endpoint, name, run)
 
     async def _stop(self, endpoint: EndpointState, name: TaskName, run: int) -> None:
-        calls = self._calls[endpoint.facts.life]
+        calls = self._calls[endpoint.info.instance]
         try:
             await calls.stop(name, run, self._tenure.fence)
         except FencedOffError:
@@ -358,39 +363,42 @@
         present = endpoint.present.get((name, run))
         if present is not None:
             present.stop_answered_s = min(present.stop_answered_s, self._clock.now_s())
-        self._wakeups[endpoint.facts.life].set()
+        self._wakeups[endpoint.info.instance].set()
 
     def order(self, task: Task, endpoint: EndpointState) -> None:
         """Begins to start a task."""
         now_s = self._clock.now_s()
-        self._book.note_ordered(task, endpoint.facts.life, now_s)
+        self._job_table.note_ordered(task, endpoint.info.instance, now_s)
         endpoint.occupy(task.name, task.run, task.step.needs)
-        payload = self._book.jobs[task.name.job_id].spec.payload
+        payload = self._job_table.jobs[task.name.job_id].spec.payload
         order = StartOrder(task.name, task.run, payload, self._tenure.fence, task.saved)
         self._tenure.spawn(self._start, task, endpoint, order)
 
     async def _start(self, task: Task, endpoint: EndpointState, order: StartOrder) -> None:
-        life, run = endpoint.facts.life, order.run
-        self._wakeups[life].set()
-        outcome = await self._calls[life].start(order)
+        instance, run = endpoint.info.instance, order.run
+        self._wakeups[instance].set()
+        outcome = await self._calls[instance].start(order)
         self._tenure.telemetry.count("task_starts", outcome=outcome.value)
         now_s = self._clock.now_s()
         present = endpoint.present.get((task.name, run))
         if outcome is StartOutcome.STARTED:
             if present is not None:
                 present.answered_s = min(present.answered_s, now_s)
-                is_current = task.life == life and task.run == run
+                is_current = task.instance == instance and task.run == run
                 if is_current and task.status is TaskStatus.STARTING:
                     task.status = TaskStatus.RUNNING
-                if self._book.find_task(task.name) is None:
+                if self._job_table.find_task(task.name) is None:
                     self.stop_soon(endpoint, task.name, run)
-            self._wakeups[life].set()
+            self._wakeups[instance].set()
             return
         logger.info(
             "start not confirmed: {}",
             outcome.value,
             extra=self._tenure.extra(
-                job=task.name.job_id, task=list(task.name[1:]), run=run, endpoint=life.endpoint_id
+                job=task.name.job_id,
+                task=list(task.name[1:]),
+                run=run,
+                endpoint=instance.endpoint_id,
             ),
         )
         self._take_unstarted(task, endpoint, run, outcome, present, now_s)
@@ -410,9 +418,9 @@
         if outcome is StartOutcome.UNKNOWN:
             if present is not None and present.answered_s == inf:
                 present.is_uncertain = True
-                if task.life == endpoint.facts.life and task.run == run:
+                if task.instance == endpoint.info.instance and task.run == run:
                     task.status = TaskStatus.UNCERTAIN
-            self._wakeups[endpoint.facts.life].set()
+            self._wakeups[endpoint.info.instance].set()
             return
         if outcome is StartOutcome.OTHER_LIFE:
             self._forget(endpoint, "another life answers at its address")
@@ -433,12 +441,12 @@
         The job's own content is the likely cause: elsewhere it would be rejected too, for ever.
         """
         endpoint.vacate(task.name, run)
-        if self._book.find_task(task.name) is None:
+        if self._job_table.find_task(task.name) is None:
             return
         end = EndedRun(UNLISTED_END, task.name, run, EndKind.FAILED, "")
         self._note_failed(endpoint, task, end, now_s)
-        self._book.note_end(task, end, endpoint.facts.life)
-        job = self._book.jobs[task.name.job_id]
+        self._job_table.note_end(task, end, endpoint.info.instance)
+        job = self._job_table.jobs[task.name.job_id]
         if job.is_final:
             self._on_final(job)
         self.changed.set()
@@ -452,15 +460,15 @@
         for endpoint in self.endpoints.values():
             for end in list(endpoint.ends.values()):
                 if end.name.job_id == job.spec.job_id and not job.is_final:
-                    task = self._book.find_task(end.name)
+                    task = self._job_table.find_task(end.name)
                     if task is not None:
-                        self._book.note_end(task, end, endpoint.facts.life)
+                        self._job_table.note_end(task, end, endpoint.info.instance)
             for name, run in list(endpoint.present):
-                task = self._book.find_task(name) if name.job_id == job.spec.job_id else None
-                if task is not None and self._may_adopt(task, endpoint.facts.life, run):
+                task = self._job_table.find_task(name) if name.job_id == job.spec.job_id else None
+                if task is not None and self._may_adopt(task, endpoint.info.instance, run):
                     endpoint.vacate(name, run)
                     endpoint.occupy(name, run, task.step.needs).answered_s = now_s
-                    self._book.note_running(task, endpoint.facts.life, run, now_s)
+                    self._job_table.note_running(task, endpoint.info.instance, run, now_s)
         if job.is_final:
             self._on_final(job)
 
@@ -480,11 +488,11 @@
             if endpoint.missed_calls:
                 continue
             for name, run in list(endpoint.present):
-                task = self._book.find_task(name)
+                task = self._job_table.find_task(name)
                 if task is None or task.run != run or task.status is not TaskStatus.RUNNING:
                     continue
-                queue = self._book.jobs[name.job_id].spec.terms.queue
-                expected_s = self._model.expect_s(queue, task.step.estimate_s)
+                queue = self._job_table.jobs[name.job_id].spec.terms.queue
+                expected_s = self._model.expected_run_time_s(queue, task.step.estimate_s)
                 limit_s = max(SHORTEST_STALL_S, STALL_HUNDREDTHS * expected_s / 100)
                 if now_s - task.progressed_s > limit_s:
                     logger.info(
@@ -493,7 +501,7 @@
                             job=name.job_id,
                             task=list(name[1:]),
                             run=run,
-                            endpoint=endpoint.facts.life.endpoint_id,
+                            endpoint=endpoint.info.instance.endpoint_id,
                             progress_percent=task.progress_percent,
                             silent_s=round(now_s - task.progressed_s, 3),
                         ),
@@ -504,7 +512,7 @@
                     endpoint.close(now_s)
                     self.stop_soon(endpoint, name, run)
 
-    def has_met_endpoints(self, now_s: float) -> bool:
+    def has_contacted_endpoints(self, now_s: float) -> bool:
         """Whether the endpoints of a new tenure have had the time to answer."""
         if now_s - self._tenure.began_s > MEETING_S:
             return True
@@ -518,6 +526,6 @@
     def stop_active(self, job: Job) -> None:
         """Begins to stop all runs of a job."""
         for task in job.tasks.values():
-            endpoint = self.endpoints.get(task.life) if task.life is not None else None
+            endpoint = self.endpoints.get(task.instance) if task.instance is not None else None
             if endpoint is not None and task.status in ACTIVE_STATUSES:
                 self.stop_soon(endpoint, task.name, task.run)
--- a/berylproxy/durable/holder.py
+++ b/berylproxy/durable/holder.py
@@ -15,12 +15,13 @@
     TOO_LATE,
     judge,
 )
-from berylproxy.durable.book import Job, JobBook
+from berylproxy.durable.best_effort import RUN_NUMBERS_PER_TENURE, Admission, BestEffortJobs, Wait
 from berylproxy.durable.contention import FENCES_PER_CLAIM
 from berylproxy.durable.estimates import RunTimeModel
 from berylproxy.durable.fleet import EndpointList
 from berylproxy.durable.group import EndpointGroup
 from berylproxy.durable.job_log import JobLog
+from berylproxy.durable.job_table import Job, JobTable
 from berylproxy.durable.ledger import (
     AlreadyThereError,
     Change,
@@ -28,7 +29,12 @@
     NotHolderError,
     TenureLostError,
 )
-from berylproxy.durable.messages import HandIn, HandInReply, HolderHeartbeat, JobsEnded
+from berylproxy.durable.messages import (
+    HolderHeartbeat,
+    JobsEnded,
+    JobSubmission,
+    JobSubmissionReply,
+)
 from berylproxy.durable.models import (
     JobSpec,
     JobState,
@@ -54,7 +60,6 @@
 )
 from berylproxy.durable.telemetry import Telemetry
 from berylproxy.durable.tenure import Tenure
-from berylproxy.durable.unkept import RUN_NUMBERS_PER_TENURE, Admission, UnkeptJobs, Wait
 from berylproxy.pause import PauseDetector
 from berylproxy.store.port import (
     StoreError,
@@ -171,7 +176,7 @@
     ) -> None:
         tenure = Tenure(group, fence, claim_revision, context.clock, context.telemetry)
         self.tenure = tenure
-        self.book = JobBook()
+        self.job_table = JobTable()
         self.is_loaded = False
         self.is_leaving = False
         self._model = model
@@ -184,18 +189,18 @@
             tenure,
             context.directory,
             context.known_list,
-            self.book,
+            self.job_table,
             model,
-            lambda facts: context.group_of(facts.service, facts.life.endpoint_id) == group,
-            lambda endpoint, end: self._outcomes.keep_end(endpoint, end),
+            lambda info: context.group_of(info.service, info.instance.endpoint_id) == group,
+            lambda endpoint, end: self._outcomes.retain_end(endpoint, end),
             self._finish,
         )
         self._ledger = Ledger(self._store, (claim_key(group), claim_revision), tenure.confirm)
-        self._outcomes = OutcomeStore(tenure, self._ledger, self.book)
-        self._log = JobLog(tenure, self.book)
-        self._unkept = UnkeptJobs(
+        self._outcomes = OutcomeStore(tenure, self._ledger, self.job_table)
+        self._log = JobLog(tenure, self.job_table)
+        self._best_effort_jobs = BestEffortJobs(
             tenure,
-            self.book,
+            self.job_table,
             self.group,
             self._log,
             self._admit,
@@ -224,7 +229,7 @@
         finally:
             self.tenure.task_group = None
             self._outcomes.abandon()
-            self._unkept.abandon()
+            self._best_effort_jobs.abandon()
             await self.group.close()
 
     async def _load_jobs(self) -> None:
@@ -258,11 +263,11 @@
         now_s = self._clock.now_s()
         age_s = max(time() - stored.accepted_unix_s, 0.0)
         first_run = self.tenure.fence * RUN_NUMBERS_PER_TENURE
-        job = self.book.open(stored, now_s - age_s, first_run=first_run)
+        job = self.job_table.open(stored, now_s - age_s, first_run=first_run)
         job.expected_s = self._expect(stored.spec)
         self._unresolved.append(UnresolvedJob(job, now_s, 0))
 
-    async def hand_in(self, message: HandIn, entry: str) -> HandInReply:
+    async def submit(self, message: JobSubmission, entry: str) -> JobSubmissionReply:
         """Stores a job and begins to carry it out, or refuses it; waits for one that isn't kept.
 
         :raises TenureLostError: if this daemon is not the holder any more.
@@ -271,19 +276,19 @@
         spec = message.job
         if self.tenure.is_over:
             raise NotHolderError("not the holder")
-        if not spec.is_kept:
-            return await self._unkept.carry_out(message, entry)
+        if not spec.is_durable:
+            return await self._best_effort_jobs.run_best_effort(message, entry)
         if not self.tenure.claim_revision:
-            return HandInReply("the store is not available", SHORTEST_RETRY_AFTER_S)
+            return JobSubmissionReply("the store is not available", SHORTEST_RETRY_AFTER_S)
         if not self.is_loaded:
             raise NotHolderError("the open jobs are not loaded yet")
         if spec.job_id in self._handing_in:
             acceptance = self._handing_in[spec.job_id]
-        elif self.book.state(spec.job_id) is not None:
-            job = self.book.jobs.get(spec.job_id)
+        elif self.job_table.state(spec.job_id) is not None:
+            job = self.job_table.jobs.get(spec.job_id)
             if job is not None:
                 job.entry = entry
-            return HandInReply()
+            return JobSubmissionReply()
         else:
             acceptance = self._handing_in[spec.job_id] = Wait()
             self.tenure.spawn(self._conclude, acceptance, spec, entry)
@@ -303,7 +308,7 @@
             self._handing_in.pop(spec.job_id, None)
             acceptance.ended.set()
 
-    async def _accept(self, spec: JobSpec, entry: str) -> HandInReply:
+    async def _accept(self, spec: JobSpec, entry: str) -> JobSubmissionReply:
         now_s = self._clock.now_s()
         is_uncertain = spec.job_id in self._uncertain
         admission = self._admit(spec, inf, is_uncertain)
@@ -317,39 +322,39 @@
         try:
             await self._ledger.make(change)
         except AlreadyThereError:
-            return HandInReply()
+            return JobSubmissionReply()
         except StoreUnavailableError as error:
             if is_uncertain:
                 raise
             self._log.note_not_stored(spec, error.message)
-            return HandInReply("the store is not available", SHORTEST_RETRY_AFTER_S)
+            return JobSubmissionReply("the store is not available", SHORTEST_RETRY_AFTER_S)
         self._uncertain.discard(spec.job_id)
-        job = self.book.open(stored, now_s, entry=entry)
+        job = self.job_table.open(stored, now_s, entry=entry)
         job.expected_s = admission.draft.expected_s
         self.group.changed.set()
-        return HandInReply()
+        return JobSubmissionReply()
 
     def _admit(self, spec: JobSpec, deadline_s: float, must_take: bool) -> Admission:
         """Judges a job by the load of the moment, unless it must be taken."""
         now_s = self._clock.now_s()
         stored = StoredJob(spec, time())
-        draft = JobBook().open(stored, now_s)
+        draft = JobTable().open(stored, now_s)
         draft.expected_s, draft.deadline_s = self._expect(spec), deadline_s
         retry_after_s = None if must_take else self._judge(draft, now_s)
         if retry_after_s is None:
             return Admission(stored, draft, None)
         self._log.note_refused(spec, retry_after_s)
-        return Admission(stored, draft, HandInReply(TOO_LATE, retry_after_s))
+        return Admission(stored, draft, JobSubmissionReply(TOO_LATE, retry_after_s))
 
     def _judge(self, draft: Job, now_s: float) -> float | None:
-        if len(self.book.jobs) >= MAX_OPEN_JOBS:
+        if len(self.job_table.jobs) >= MAX_OPEN_JOBS:
             return SHORTEST_RETRY_AFTER_S
-        if draft.spec.is_kept and now_s - self.tenure.confirmed_s > LONE_TENURE_S:
+        if draft.spec.is_durable and now_s - self.tenure.confirmed_s > LONE_TENURE_S:
             return SHORTEST_RETRY_AFTER_S
-        if not self.group.has_met_endpoints(now_s):
+        if not self.group.has_contacted_endpoints(now_s):
             return None
         return judge(
-            draft, self.book.jobs.values(), self.group.endpoints.values(), self._model, now_s
+            draft, self.job_table.jobs.values(), self.group.endpoints.values(), self._model, now_s
         )
 
     async def find_state(self, job_id: str) -> str:
@@ -361,14 +366,14 @@
             await self._handing_in[job_id].ended.wait()
         if self.tenure.is_over or not self.is_loaded:
             raise NotHolderError("not the holder, or not yet")
-        state = self.book.state(job_id)
+        state = self.job_table.state(job_id)
         if state is not None:
             return state.value
         entry = await self._store.get(final_key(job_id))
         if entry is None:
             return ""
         state = decode_final(entry.value)
-        self.book.remember_outcome(job_id, state)
+        self.job_table.remember_outcome(job_id, state)
         return state.value
 
     async def cancel(self, job_id: str) -> str:
@@ -377,28 +382,30 @@
         :raises BerylproxyError: if the cancellation may not be stored.
         """
         state = await self.find_state(job_id)
-        job = self.book.jobs.get(job_id)
+        job = self.job_table.jobs.get(job_id)
         if job is None:
             return state
         if not job.is_final:
             logger.info("job cancelled by its caller", extra=self.tenure.extra(job=job_id))
-            self.book.cancel(job)
+            self.job_table.cancel(job)
             self._finish(job)
         await self._outcomes.wait(job_id)
-        if self.tenure.is_over or job_id in self.book.jobs:
+        if self.tenure.is_over or job_id in self.job_table.jobs:
             raise TenureLostError("not the holder any more")
         return job.state.value
 
     def count_pending(self, queue: str) -> int:
         """Counts a queue's jobs of which no task has begun."""
-        return self.book.count_pending(queue)
+        return self.job_table.count_pending(queue)
 
     def _expect(self, spec: JobSpec) -> float:
         """Expects the run time of a job's longest chain of steps."""
         ends: list[float] = []
         for step in spec.steps:
             begin_s = max((ends[number] for number in step.after if number < len(ends)), default=0)
-            ends.append(begin_s + self._model.expect_s(spec.terms.queue, step.estimate_s))
+            ends.append(
+                begin_s + self._model.expected_run_time_s(spec.terms.queue, step.estimate_s)
+            )
         return max(ends, default=0.0)
 
     async def _keep_placing(self) -> None:
@@ -407,7 +414,7 @@
             self.group.changed = Event()
             self._resolve_jobs()
             place_waiting(
-                self.book,
+                self.job_table,
                 self.group.endpoints.values(),
                 self._model,
                 self._clock.now_s(),
@@ -421,7 +428,7 @@
             return
         now_s = self._clock.now_s()
         are_contacted = all(endpoint.is_contacted for endpoint in self.group.endpoints.values())
-        listed = {life.endpoint_id for life in self.group.endpoints}
+        listed = {instance.endpoint_id for instance in self.group.endpoints}
         left = []
         for unresolved in self._unresolved:
             age_s = now_s - unresolved.since_s
@@ -429,17 +436,17 @@
             if not unresolved.job.is_final and not can_resolve(age_s, are_contacted, is_complete):
                 left.append(unresolved)
             elif not unresolved.job.is_final:
-                self.book.resolve(unresolved.job)
+                self.job_table.resolve(unresolved.job)
         self._unresolved = left
 
     def _finish(self, job: Job) -> None:
         """Tells a job's outcome to who waits for it, or has it stored."""
-        if not job.spec.is_kept:
-            self._unkept.finish(job)
+        if not job.spec.is_durable:
+            self._best_effort_jobs.finish(job)
             return
         self.group.stop_active(job)
         job_id = job.spec.job_id
-        if job_id not in self.book.jobs or self._outcomes.is_storing(job_id):
+        if job_id not in self.job_table.jobs or self._outcomes.is_storing(job_id):
             return
         self._log.note_ended(job)
         if job.entry and job.state is not JobState.CANCELLED:
@@ -448,7 +455,7 @@
 
     def drop(self, job_id: str, reason: str) -> None:
         """Gives a job up that isn't kept: nobody waits for it."""
-        self._unkept.drop(job_id, reason)
+        self._best_effort_jobs.drop(job_id, reason)
 
     async def _tick(self) -> None:
         while True:
@@ -458,9 +465,9 @@
             self._outcomes.store_old_progress(now_s)
             if not self._pauses.is_refreshing:
                 self.group.move_stalled(now_s)
-                self._unkept.give_up_useless(now_s, self._context.is_entry_alive)
+                self._best_effort_jobs.drop_unneeded(now_s, self._context.is_entry_alive)
             self.group.release_orphan_ends(now_s)
-            if self._unresolved or any(True for _ in self.book.waiting_jobs()):
+            if self._unresolved or any(True for _ in self.job_table.waiting_jobs()):
                 self.group.changed.set()
 
     async def _send_heartbeats(self) -> None:
@@ -470,7 +477,9 @@
 
     def send_heartbeat(self) -> None:
         """Tells all daemons that this one is the holder."""
-        endpoints = tuple(life.endpoint_id for life, e in self.group.endpoints.items() if e.present)
+        endpoints = tuple(
+            instance.endpoint_id for instance, e in self.group.endpoints.items() if e.present
+        )
         heartbeat = HolderHeartbeat(
             self.tenure.group, self.tenure.fence, endpoints, self.is_leaving
         )
@@ -512,7 +521,9 @@
 
     def _suspend_kept(self, age_s: float) -> None:
         """Stops the kept jobs and ends the tenure: another holder may be carrying them out."""
-        kept = [job for job in self.book.jobs.values() if job.spec.is_kept and not job.is_final]
+        kept = [
+            job for job in self.job_table.jobs.values() if job.spec.is_durable and not job.is_final
+        ]
         if not kept:
             return
         for job in kept:
--- a/berylproxy/durable/job_log.py
+++ b/berylproxy/durable/job_log.py
@@ -4,7 +4,7 @@
 
 from logbook import Logger
 
-from berylproxy.durable.book import Job, JobBook
+from berylproxy.durable.job_table import Job, JobTable
 from berylproxy.durable.models import JobSpec
 from berylproxy.durable.placement import objective_s
 from berylproxy.durable.tenure import Tenure
@@ -17,7 +17,7 @@
     """Tells of the jobs of one tenure."""
 
     tenure: Tenure
-    book: JobBook
+    job_table: JobTable
 
     def note_refused(self, spec: JobSpec, retry_after_s: float) -> None:
         """A job is refused: more work than the endpoints can do in time."""
@@ -27,7 +27,7 @@
             extra=self.tenure.extra(
                 job=spec.job_id,
                 queue=spec.terms.queue,
-                open_jobs=len(self.book.jobs),
+                open_jobs=len(self.job_table.jobs),
                 retry_after_s=retry_after_s,
             ),
         )
@@ -53,7 +53,7 @@
                 expected_s=round(job.expected_s, 3),
                 tasks=len(job.tasks),
                 waiting=waiting,
-                open_jobs=len(self.book.jobs),
+                open_jobs=len(self.job_table.jobs),
             ),
         )
 
--- a/berylproxy/durable/book.py
+++ b/berylproxy/durable/job_table.py
@@ -10,7 +10,7 @@
     FINAL_STATES,
     EndedRun,
     EndKind,
-    EndpointLife,
+    EndpointInstance,
     JobSpec,
     JobState,
     Progress,
@@ -53,7 +53,7 @@
     step: StepSpec
     status: TaskStatus
     run: int = 0
-    life: EndpointLife | None = None
+    instance: EndpointInstance | None = None
     orders: int = 0
     ordered_s: float = 0.0
     started_s: float = 0.0
@@ -101,7 +101,7 @@
         )
 
 
-class JobBook:
+class JobTable:
     """All open jobs of a group and the outcomes of those that ended."""
 
     def __init__(self) -> None:
@@ -165,7 +165,7 @@
                 task.status = TaskStatus.WAITING
         self._release_steps(job)
 
-    def note_ordered(self, task: Task, life: EndpointLife, now_s: float) -> None:
+    def note_ordered(self, task: Task, instance: EndpointInstance, now_s: float) -> None:
         """Notes that a waiting task is being started under a new run number."""
         job = self.jobs[task.name.job_id]
         job.waiting.remove(task)
@@ -174,35 +174,37 @@
         task.run += 1
         task.orders += 1
         task.status = TaskStatus.STARTING
-        task.life = life
+        task.instance = instance
         task.ordered_s = task.started_s = now_s
         task.progress_percent = 0
         task.progressed_s = now_s
 
-    def note_running(self, task: Task, life: EndpointLife, run: int, now_s: float) -> None:
+    def note_running(self, task: Task, instance: EndpointInstance, run: int, now_s: float) -> None:
         """Notes that an endpoint runs the task."""
-        if task.status is not TaskStatus.RUNNING or task.life != life:
+        if task.status is not TaskStatus.RUNNING or task.instance != instance:
             task.started_s = task.progressed_s = now_s
         job = self.jobs[task.name.job_id]
         if task.status is TaskStatus.WAITING:
             job.waiting.remove(task)
         job.started = True
         job.state = JobState.RUNNING
-        task.status, task.life, task.run = TaskStatus.RUNNING, life, run
+        task.status, task.instance, task.run = TaskStatus.RUNNING, instance, run
 
     def note_not_running(self, task: Task) -> None:
         """Lets an active task wait again: its newest run is certainly over."""
-        task.life = None
+        task.instance = None
         task.status = TaskStatus.WAITING
         self.jobs[task.name.job_id].waiting.append(task)
 
-    def note_end(self, task: Task, end: EndedRun, life: EndpointLife) -> None:
+    def note_end(self, task: Task, end: EndedRun, instance: EndpointInstance) -> None:
         """Applies the end of a run, which may be an earlier one than the task's newest."""
         if task.status is TaskStatus.DONE:
             return
         job = self.jobs[task.name.job_id]
         is_newest = end.run >= task.run and (
-            task.status is TaskStatus.UNRESOLVED or task.life == life or task.life is None
+            task.status is TaskStatus.UNRESOLVED
+            or task.instance == instance
+            or task.instance is None
         )
         if end.saved and is_newest:
             task.saved = end.saved
@@ -212,7 +214,7 @@
             return
         if end.kind is EndKind.FAILED:
             task.failed_runs.add(end.run)
-            task.failed_at.add(life.endpoint_id)
+            task.failed_at.add(instance.endpoint_id)
             if len(task.failed_runs) >= job.spec.terms.max_attempts:
                 job.state = JobState.FAILED
                 job.waiting.clear()
@@ -241,7 +243,7 @@
         if task.status is TaskStatus.WAITING:
             job.waiting.remove(task)
         task.status = TaskStatus.DONE
-        task.life = None
+        task.instance = None
         job.started = True
         job.left -= 1
         if not job.left:
--- a/berylproxy/durable/messages.py
+++ b/berylproxy/durable/messages.py
@@ -1,12 +1,13 @@
 """What daemons tell each other about durable jobs."""
 
 from dataclasses import dataclass
+from typing import ClassVar
 
 from berylproxy.durable.models import JobSpec
 
 
 @dataclass(frozen=True, slots=True)
-class HandIn:
+class JobSubmission:
     """Asks the holder to carry out a job: to store it first, or to answer when it has ended.
 
     :param group: the endpoint group that the job belongs to.
@@ -15,6 +16,8 @@
     :param former_fence: of the holder that it reached last; 0 for none.
     """
 
+    WIRE_NAME: ClassVar[str] = "HandIn"
+
     group: str
     job: JobSpec
     attempt: int = 0
@@ -23,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HandInReply:
+class JobSubmissionReply:
     """What the holder made of it.
 
     :param refusal: empty if the job was taken; else why it was not and never will be.
@@ -31,6 +34,8 @@
     :param state: how a job that is not kept has ended.
     """
 
+    WIRE_NAME: ClassVar[str] = "HandInReply"
+
     refusal: str = ""
     retry_after_s: float = 0.0
     state: str = ""
@@ -105,8 +110,8 @@
 
 
 DURABLE_MESSAGES = (
-    HandIn,
-    HandInReply,
+    JobSubmission,
+    JobSubmissionReply,
     DropJob,
     AskState,
     CancelStored,
--- a/berylproxy/durable/models.py
+++ b/berylproxy/durable/models.py
@@ -121,6 +121,11 @@
     steps: tuple[StepSpec, ...]
     is_kept: bool = True
 
+    @property
+    def is_durable(self) -> bool:
+        """Whether the job is stored and outlives its caller's request; else it is best-effort."""
+        return self.is_kept
+
 
 class TaskName(NamedTuple):
     """Names a task over all jobs."""
@@ -130,7 +135,7 @@
     index: int
 
 
-class EndpointLife(NamedTuple):
+class EndpointInstance(NamedTuple):
     """One life of an endpoint process: the platform may use an endpoint's id again.
 
     :param born_ms: Unix time of its start; 0 if it doesn't tell.
@@ -141,7 +146,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EndpointFacts:
+class EndpointInfo:
     """What the platform's list says of an endpoint.
 
     :param address: ``host:port``.
@@ -150,7 +155,7 @@
     :param kind: the VM's hardware kind; empty if unknown.
     """
 
-    life: EndpointLife
+    instance: EndpointInstance
     service: str
     address: str
     failure_domain: str
--- a/berylproxy/durable/outcomes.py
+++ b/berylproxy/durable/outcomes.py
@@ -6,8 +6,8 @@
 from anyio import Event, sleep
 from logbook import Logger
 
-from berylproxy.durable.book import Job, JobBook
 from berylproxy.durable.fleet import EndpointState
+from berylproxy.durable.job_table import Job, JobTable
 from berylproxy.durable.ledger import AlreadyThereError, Change, Ledger, TenureLostError
 from berylproxy.durable.models import EndedRun, StoredJob
 from berylproxy.durable.ports import JobStore
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KeptEnd:
+class RetainedEnd:
     """An end that its endpoint must remember until the job's end is stored."""
 
     endpoint: EndpointState
@@ -42,17 +42,17 @@
 class OutcomeStore:
     """The outcomes of a tenure's kept jobs on their way into the store."""
 
-    def __init__(self, tenure: Tenure, ledger: Ledger, book: JobBook) -> None:
+    def __init__(self, tenure: Tenure, ledger: Ledger, job_table: JobTable) -> None:
         self._tenure = tenure
         self._ledger = ledger
-        self._book = book
-        self._kept_ends: dict[str, list[KeptEnd]] = {}
+        self._job_table = job_table
+        self._kept_ends: dict[str, list[RetainedEnd]] = {}
         self._waiting: dict[str, Event] = {}
         self._storing_progress: set[str] = set()
 
-    def keep_end(self, endpoint: EndpointState, end: EndedRun) -> None:
+    def retain_end(self, endpoint: EndpointState, end: EndedRun) -> None:
         """Notes that an endpoint is the memory of an end."""
-        kept = KeptEnd(endpoint, end.number, self._tenure.clock.now_s())
+        kept = RetainedEnd(endpoint, end.number, self._tenure.clock.now_s())
         self._kept_ends.setdefault(end.name.job_id, []).append(kept)
 
     def begin(self, job: Job) -> None:
@@ -122,7 +122,7 @@
             except StoreError as error:
                 logger.debug("outcome of {} not stored yet: {}", job_id, error.message)
                 await sleep(RETRY_PAUSE_S)
-        self._book.close(job)
+        self._job_table.close(job)
         for kept in self._kept_ends.pop(job_id, ()):
             kept.endpoint.release(kept.number)
         self._waiting.pop(job_id).set()
@@ -130,7 +130,7 @@
     def store_old_progress(self, now_s: float) -> None:
         """Begins to store what endpoints would otherwise have to remember for long."""
         for job_id, ends in self._kept_ends.items():
-            job = self._book.jobs.get(job_id)
+            job = self._job_table.jobs.get(job_id)
             if job is None or job.is_final or job_id in self._storing_progress:
                 continue
             if ends and now_s - ends[0].seen_s > PROGRESS_AGE_S:
--- a/berylproxy/durable/placement.py
+++ b/berylproxy/durable/placement.py
@@ -10,9 +10,9 @@
 from dataclasses import dataclass
 from math import inf
 
-from berylproxy.durable.book import ACTIVE_STATUSES, Job, JobBook, Task
 from berylproxy.durable.estimates import RunTimeModel
 from berylproxy.durable.fleet import EndpointState
+from berylproxy.durable.job_table import ACTIVE_STATUSES, Job, JobTable, Task
 from berylproxy.durable.models import StepSpec
 
 LATE_FACTOR = 3.0  # up to that many objectives an answer is late; after that it is worth nothing
@@ -71,7 +71,7 @@
 
 
 def place_waiting(
-    book: JobBook,
+    job_table: JobTable,
     endpoints: Iterable[EndpointState],
     model: RunTimeModel,
     now_s: float,
@@ -83,11 +83,11 @@
     :param order: called for each placement; it must count the room as taken.
     :param remote_factor: run time of a task away from its data or its step's rack, against near.
     """
-    waiting = list(book.waiting_jobs())
+    waiting = list(job_table.waiting_jobs())
     usable = [endpoint for endpoint in endpoints if endpoint.may_start(now_s)] if waiting else []
     if not usable:
         return
-    cores = sum(endpoint.facts.capacity.cpu_millicores for endpoint in usable) / len(usable) / 1000
+    cores = sum(endpoint.info.capacity.cpu_millicores for endpoint in usable) / len(usable) / 1000
     jobs = sorted(waiting, key=lambda job: rank_job(job, now_s, cores))
     widest = max(endpoint.free_millicores for endpoint in usable)
     passed = 0
@@ -123,11 +123,11 @@
     present = _count_step(job, task.name.step)
     tasks, speeds, running = Counter[str](), Counter[str](), Counter[str]()
     for endpoint in usable:
-        rack = endpoint.facts.rack
-        running[rack] += present[endpoint.facts.life]
+        rack = endpoint.info.rack
+        running[rack] += present[endpoint.info.instance]
         fitting = _count_fitting(endpoint, step)
         tasks[rack] += fitting
-        speeds[rack] += fitting * model.speed(endpoint.facts.life.endpoint_id)
+        speeds[rack] += fitting * model.speed(endpoint.info.instance.endpoint_id)
     if running.total():
         return max(running, key=running.__getitem__)
     return max(tasks, key=lambda rack: (min(tasks[rack], step.count), speeds[rack]))
@@ -147,25 +147,25 @@
     time waits for a faster endpoint if it would be late at all that have room.
     """
     step = task.step
-    expected_s = model.expect_s(job.spec.terms.queue, step.estimate_s)
+    expected_s = model.expected_run_time_s(job.spec.terms.queue, step.estimate_s)
     on_endpoints = _count_step(job, task.name.step) if step.max_per_endpoint else None
     best, best_cost_s, best_run_time_s, fastest_s = None, inf, inf, inf
     for endpoint in usable:
-        facts = endpoint.facts
+        info = endpoint.info
         if not _has_label(endpoint, step):
             continue
-        if on_endpoints is not None and on_endpoints[facts.life] >= step.max_per_endpoint:
+        if on_endpoints is not None and on_endpoints[info.instance] >= step.max_per_endpoint:
             continue
-        run_time_s = expected_s / model.speed(facts.life.endpoint_id)
-        if near.rack and near.rack != facts.rack:
+        run_time_s = expected_s / model.speed(info.instance.endpoint_id)
+        if near.rack and near.rack != info.rack:
             run_time_s *= near.remote_factor
-        if facts.life.endpoint_id in task.failed_at:
+        if info.instance.endpoint_id in task.failed_at:
             run_time_s += FAILED_HERE_FACTOR * expected_s
         fastest_s = min(fastest_s, run_time_s)
         left = endpoint.free_millicores - step.needs.cpu_millicores
         if left < 0 or not step.needs.fits(endpoint.room):
             continue
-        cost_s = run_time_s + FIT_WEIGHT_S * left / max(facts.capacity.cpu_millicores, 1)
+        cost_s = run_time_s + FIT_WEIGHT_S * left / max(info.capacity.cpu_millicores, 1)
         if cost_s < best_cost_s:
             best, best_cost_s, best_run_time_s = endpoint, cost_s, run_time_s
     left_s = job.accepted_s + objective_s(job) - now_s
@@ -183,7 +183,7 @@
 
 def _count_step(job: Job, step: int) -> Counter:
     return Counter(
-        task.life
+        task.instance
         for (number, _), task in job.tasks.items()
         if number == step and task.status in ACTIVE_STATUSES
     )
@@ -191,11 +191,11 @@
 
 def _could_take(endpoint: EndpointState, step: StepSpec) -> bool:
     """Tells whether an endpoint could take a task of a step if it had nothing else to do."""
-    return _has_label(endpoint, step) and step.needs.fits(endpoint.facts.capacity)
+    return _has_label(endpoint, step) and step.needs.fits(endpoint.info.capacity)
 
 
 def _has_label(endpoint: EndpointState, step: StepSpec) -> bool:
-    return not step.required_label or step.required_label in endpoint.facts.labels
+    return not step.required_label or step.required_label in endpoint.info.labels
 
 
 def _count_fitting(endpoint: EndpointState, step: StepSpec) -> int:
--- a/berylproxy/durable/ports.py
+++ b/berylproxy/durable/ports.py
@@ -4,7 +4,7 @@
 from enum import StrEnum
 from typing import Protocol
 
-from berylproxy.durable.models import EndpointFacts, EndpointReport, TaskName
+from berylproxy.durable.models import EndpointInfo, EndpointReport, TaskName
 from berylproxy.errors import BerylproxyError
 from berylproxy.store.port import Entry
 
@@ -21,7 +21,7 @@
     code = "fenced_off"
 
 
-class OtherLifeError(EndpointCallError):
+class OtherInstanceError(EndpointCallError):
     """Another life of the endpoint answered: all that the former one ran has ended."""
 
     code = "other_endpoint_life"
@@ -92,13 +92,13 @@
 class EndpointDirectory(Protocol):
     """The platform's list of endpoints, and how to call them."""
 
-    async def fetch(self) -> tuple[EndpointFacts, ...]:
+    async def fetch(self) -> tuple[EndpointInfo, ...]:
         """Reads the list.
 
         :raises StoreUnavailableError: while the platform does not answer.
         """
 
-    def connect(self, facts: EndpointFacts) -> EndpointCalls:
+    def connect(self, info: EndpointInfo) -> EndpointCalls:
         """Makes the calls to an endpoint."""
 
 
--- a/berylproxy/durable/view.py
+++ b/berylproxy/durable/view.py
@@ -5,8 +5,8 @@
 from typing import Any
 
 from berylproxy.clock import Clock
+from berylproxy.durable.coordinator import GroupCoordinator
 from berylproxy.durable.fleet import EndpointState
-from berylproxy.durable.member import DurableMember
 from berylproxy.peers.membership import describe_member
 from berylproxy.peers.network import TcpPeerNetwork
 
@@ -16,16 +16,16 @@
     """Describes one daemon as it sees itself and the others."""
 
     network: TcpPeerNetwork
-    member: DurableMember
+    coordinator: GroupCoordinator
     clock: Clock
 
-    def describe(self, facts: dict[str, Any]) -> dict[str, Any]:
+    def describe(self, info: dict[str, Any]) -> dict[str, Any]:
         """Describes everything, in the shape of ``GET /v1/status``.
 
         :param facts: what the caller knows of the daemon besides.
         """
         return {
-            "daemon": self._describe_daemon() | facts,
+            "daemon": self._describe_daemon() | info,
             "peers": self._describe_peers(),
             "groups": self._describe_groups(),
             "endpoints": self._describe_endpoints(),
@@ -38,8 +38,8 @@
             "incarnation": identity.incarnation,
             "failure_domain": identity.failure_domain,
             "peer_address": identity.peer_address,
-            "cores": self.member.cores,
-            "stopping": self.member.is_leaving,
+            "cores": self.coordinator.cores,
+            "stopping": self.coordinator.is_leaving,
         }
 
     def _describe_peers(self) -> list[dict[str, Any]]:
@@ -55,8 +55,8 @@
         names = {m.identity.incarnation: m.identity.daemon_id for m in self.network.members()}
         names[self.network.identity.incarnation] = self.network.identity.daemon_id
         rows = []
-        for group, known in sorted(self.member.known.items()):
-            holder = self.member.holders.get(group)
+        for group, known in sorted(self.coordinator.known.items()):
+            holder = self.coordinator.holders.get(group)
             row = {
                 "group": group,
                 "holder": names.get(known.incarnation, known.incarnation),
@@ -65,7 +65,7 @@
                 "held_here": holder is not None,
             }
             if holder is not None:
-                jobs = holder.book.jobs.values()
+                jobs = holder.job_table.jobs.values()
                 queues = Counter(job.spec.terms.queue for job in jobs)
                 row["open_jobs"] = dict(queues)
                 row["waiting_tasks"] = sum(len(job.waiting) for job in jobs)
@@ -77,18 +77,18 @@
         now_s = self.clock.now_s()
         return [
             {"group": group, **_describe_endpoint(endpoint, now_s)}
-            for group, holder in sorted(self.member.holders.items())
+            for group, holder in sorted(self.coordinator.holders.items())
             for endpoint in holder.group.endpoints.values()
         ]
 
 
 def _describe_endpoint(endpoint: EndpointState, now_s: float) -> dict[str, Any]:
     return {
-        "name": endpoint.facts.life.endpoint_id,
-        "failure_domain": endpoint.facts.failure_domain,
+        "name": endpoint.info.instance.endpoint_id,
+        "failure_domain": endpoint.info.failure_domain,
         "takes_tasks": endpoint.may_start(now_s),
         "listed": endpoint.is_listed,
-        "leaving": endpoint.facts.leaving,
+        "leaving": endpoint.info.leaving,
         "missed_calls": endpoint.missed_calls,
         "closed_for_s": round(max(endpoint.closed_until_s - now_s, 0.0), 3),
         "failures_in_row": endpoint.failures_in_row,
--- a/berylproxy/peers/codec.py
+++ b/berylproxy/peers/codec.py
@@ -60,7 +60,7 @@
 
     Fields travel by name, so that a daemon of another version may add fields with defaults.
 
-    :param message_types: dataclasses, known on the wire by their class names.
+    :param message_types: dataclasses, known on the wire by their ``WIRE_NAME`` or class names.
     """
 
     def __init__(self, message_types: Iterable[type]) -> None:
@@ -68,7 +68,7 @@
         adapters = {message_type: TypeAdapter(message_type) for message_type in self._types}
         self._dumpers = {kind: adapter.serializer.to_python for kind, adapter in adapters.items()}
         self._validators = {
-            kind.__name__: SchemaValidator(_make_strict(adapter.core_schema)).validate_python
+            _wire_name(kind): SchemaValidator(_make_strict(adapter.core_schema)).validate_python
             for kind, adapter in adapters.items()
         }
         if len(self._validators) != len(self._types):
@@ -128,7 +128,7 @@
         dump = self._dumpers.get(message_type)
         if dump is None:
             raise TypeError(f"{message_type.__name__} is not a registered message type")
-        return message_type.__name__, dump(message)
+        return _wire_name(message_type), dump(message)
 
     def _check_message(self, name: str, body: Any) -> Any:
         validate = self._validators.get(name)
@@ -185,6 +185,10 @@
             raise PeerProtocolError(f"not a msgpack stream: {type(error).__name__}") from error
 
 
+def _wire_name(message_type: type) -> str:
+    return getattr(message_type, "WIRE_NAME", message_type.__name__)
+
+
 def _check_refusal(request_id: int, code: str, body: Any) -> RefusalFrame:
     if type(body) is not list or len(body) != 2 or type(body[0]) is not str:
         raise PeerProtocolError("malformed refusal")
--- a/berylproxy/place/ledger.py
+++ b/berylproxy/place/ledger.py
@@ -125,7 +125,7 @@
         for key, slot in reported.items():
             state = self._states.get(slot.endpoint)
             if state is not None and key not in state.uses:
-                expected_s = self._expect_s(slot.endpoint, slot.service)
+                expected_s = self._expected_run_time_s(slot.endpoint, slot.service)
                 self._begin_use(state, key, home, slot.team, now_s, expected_s)
 
     def forget_home(self, home: str, now_s: float) -> None:
@@ -182,7 +182,8 @@
         """Tells how busy the endpoints are."""
         usable = [state for state in self._states.values() if state.is_usable(now_s)]
         turnover_per_s = sum(
-            state.endpoint.slots / self._expect_any_s(state.endpoint.name) for state in usable
+            state.endpoint.slots / self._expected_any_run_time_s(state.endpoint.name)
+            for state in usable
         )
         return HolderSummary(
             self.pool,
@@ -202,7 +203,7 @@
         """What the next tasks would cost after those that wait."""
         costs_s: list[float] = []
         for name, forecast in self._make_forecasts(now_s).items():
-            run_time_s = self._expect_any_s(name)
+            run_time_s = self._expected_any_run_time_s(name)
             costs_s += forecast.list_costs_s(run_time_s, now_s, SUMMARIZED_COSTS)
         waiting = self.count_waiting()
         wait_s = waiting / turnover_per_s if turnover_per_s else 0.0
@@ -211,7 +212,9 @@
         )
 
     def _forecast(self, now_s: float) -> SlotForecast:
-        return SlotForecast(self._make_forecasts(now_s), self._expect_s, self._can_take, now_s)
+        return SlotForecast(
+            self._make_forecasts(now_s), self._expected_run_time_s, self._can_take, now_s
+        )
 
     def _make_forecasts(self, now_s: float) -> dict[str, EndpointForecast]:
         return {
@@ -234,7 +237,9 @@
         self._demands.note_grant(home, key, number, now_s)
         state = self._states[endpoint]
         slot = SlotKey(self.issuer, number)
-        self._begin_use(state, slot, home, key.team, now_s, self._expect_s(endpoint, key.service))
+        self._begin_use(
+            state, slot, home, key.team, now_s, self._expected_run_time_s(endpoint, key.service)
+        )
         grant = SlotGrant(number, endpoint, key.service, key.team, key.needs)
         return AddressedGrant(home, grant)
 
@@ -267,12 +272,12 @@
     def _can_take(self, endpoint: str, key: DemandKey) -> bool:
         return self._states[endpoint].can_ever_take(key.needs)
 
-    def _expect_s(self, endpoint: str, service: str) -> float:
+    def _expected_run_time_s(self, endpoint: str, service: str) -> float:
         known = self._services.get(service)
         declared_s = known.run_time_s if known is not None else DEFAULT_RUN_TIME_S
-        return self.run_times.expect_s(endpoint, service, declared_s)
+        return self.run_times.expected_run_time_s(endpoint, service, declared_s)
 
-    def _expect_any_s(self, endpoint: str) -> float:
+    def _expected_any_run_time_s(self, endpoint: str) -> float:
         services = [name for name, known in self._services.items() if self.pool in known.pools]
-        times_s = [self._expect_s(endpoint, service) for service in services]
+        times_s = [self._expected_run_time_s(endpoint, service) for service in services]
         return max(sum(times_s) / len(times_s), SHORTEST_RUN_TIME_S) if times_s else 1.0
--- a/berylproxy/place/schedule.py
+++ b/berylproxy/place/schedule.py
@@ -136,12 +136,12 @@
     def __init__(
         self,
         forecasts: dict[str, EndpointForecast],
-        expect_s: Callable[[str, str], float],
+        expected_run_time_s: Callable[[str, str], float],
         can_take: Callable[[str, DemandKey], bool],
         now_s: float,
     ) -> None:
         self._forecasts = forecasts
-        self._expect_s = expect_s
+        self._expected_run_time_s = expected_run_time_s
         self._can_take = can_take
         self._now_s = now_s
         self.free = sum(forecast.free for forecast in forecasts.values())
@@ -155,7 +155,7 @@
             if start_s is None or not self._can_take(name, key):
                 continue
             wait_s = start_s - self._now_s
-            cost_s = WAIT_WEIGHT * wait_s + self._expect_s(name, key.service)
+            cost_s = WAIT_WEIGHT * wait_s + self._expected_run_time_s(name, key.service)
             if cost_s < best_cost_s:
                 best_name = name
                 best_cost_s = cost_s
@@ -163,7 +163,7 @@
             return None
         best = self._forecasts[best_name]
         starts_now = best.free > 0
-        best.reserve(self._expect_s(best_name, key.service), self._now_s)
+        best.reserve(self._expected_run_time_s(best_name, key.service), self._now_s)
         if starts_now:
             self.free -= 1
         return Placement(best_name, starts_now)
--- a/berylproxy/place/speed.py
+++ b/berylproxy/place/speed.py
@@ -37,7 +37,7 @@
             mean.mean_s for (_, known), mean in self._means.items() if known == service
         )
 
-    def expect_s(self, endpoint: str, service: str, declared_s: float) -> float:
+    def expected_run_time_s(self, endpoint: str, service: str, declared_s: float) -> float:
         """The expected run time of a task.
 
         :param declared_s: the service's declared run time, used until one is learnt.
--- a/berylproxy/platform/callers.py
+++ b/berylproxy/platform/callers.py
@@ -9,8 +9,8 @@
 from anyio import Event, create_task_group, move_on_after
 from logbook import Logger
 
-from berylproxy.durable.entry import (
-    EntryDesk,
+from berylproxy.durable.frontend import (
+    JobFrontend,
     NotAcceptedError,
     NotKnownError,
     OverloadedError,
@@ -73,14 +73,14 @@
 
     def __init__(
         self,
-        desk: EntryDesk,
+        frontend: JobFrontend,
         configuration: Callable[[], PlatformConfiguration],
         is_ready: Callable[[], bool],
         is_stopping: Callable[[], bool],
         telemetry: Telemetry,
         describe: Callable[[], dict[str, Any]],
     ) -> None:
-        self._desk = desk
+        self._frontend = frontend
         self._configuration = configuration
         self._is_ready = is_ready
         self._is_stopping = is_stopping
@@ -179,7 +179,9 @@
         wait_s = _read_wait_s(headers, route) - ANSWER_MARGIN_S
         method = scope["method"]
         if method == "GET" and not job_id:
-            count = await self._desk.count_pending(route.terms.service, route.terms.queue, wait_s)
+            count = await self._frontend.count_pending(
+                route.terms.service, route.terms.queue, wait_s
+            )
             await self._answer(send, 200, {"pending": count})
         elif len(job_id) != JOB_ID_CHARACTERS:
             await self._answer(send, 404, {"error": "no such job"})
@@ -188,34 +190,36 @@
             if route.needs_advice:
                 raise JobUnsupportedError(f"queue {route.terms.queue}: advice is not supported")
             job = decode_job(job_id, route, body)
-            if job.is_kept:
-                await self._desk.hand_in(job, wait_s)
+            if job.is_durable:
+                await self._frontend.submit_durable(job, wait_s)
                 await self._answer(send, 200, {})
             else:
-                state = await self._carry_out(job, wait_s, receive)
+                state = await self._run_best_effort(job, wait_s, receive)
                 if state is not None:
                     await self._answer(send, 200, {"state": state.value})
         elif method == "GET":
             services = _order_services(configuration, route)
-            state = await self._desk.find_state(services, job_id, wait_s)
+            state = await self._frontend.find_state(services, job_id, wait_s)
             if state is None:
                 await self._answer(send, 410, {"error": "no such job"})
             else:
                 await self._answer(send, 200, {"state": state.value})
         elif method == "DELETE":
             services = _order_services(configuration, route)
-            state = await self._desk.cancel(services, job_id, wait_s)
+            state = await self._frontend.cancel(services, job_id, wait_s)
             await self._answer(send, 410 if state is None else 200, {})
         else:
             await self._answer(send, 405, {"error": "POST, GET and DELETE are served"})
 
-    async def _carry_out(self, job: JobSpec, wait_s: float, receive: Receive) -> JobState | None:
+    async def _run_best_effort(
+        self, job: JobSpec, wait_s: float, receive: Receive
+    ) -> JobState | None:
         """Carries a job out unless the caller goes away first: ``None`` then."""
         states, errors = [], []
 
-        async def carry_out() -> None:
+        async def run_best_effort() -> None:
             try:
-                states.append(await self._desk.carry_out(job, wait_s))
+                states.append(await self._frontend.run_best_effort(job, wait_s))
             except BerylproxyError as error:
                 errors.append(error)
             task_group.cancel_scope.cancel()
@@ -226,7 +230,7 @@
             task_group.cancel_scope.cancel()
 
         async with create_task_group() as task_group:
-            task_group.start_soon(carry_out)
+            task_group.start_soon(run_best_effort)
             task_group.start_soon(wait_for_stop)
             while (await receive())["type"] != "http.disconnect":
                 pass
--- a/berylproxy/platform/daemon.py
+++ b/berylproxy/platform/daemon.py
@@ -14,8 +14,8 @@
 
 from berylproxy import __version__
 from berylproxy.clock import MonotonicClock
-from berylproxy.durable.entry import EntryDesk
-from berylproxy.durable.member import DurableMember
+from berylproxy.durable.coordinator import GroupCoordinator
+from berylproxy.durable.frontend import JobFrontend
 from berylproxy.durable.messages import DURABLE_MESSAGES
 from berylproxy.durable.ports import Transaction, TransactionConflictError
 from berylproxy.durable.records import ROOT
@@ -89,7 +89,7 @@
             MessageCodec(DURABLE_MESSAGES),
             Logger("berylproxy.peers"),
         )
-        self._member = DurableMember(
+        self._coordinator = GroupCoordinator(
             self._network,
             self._store,
             self._endpoints,
@@ -97,14 +97,16 @@
             settings.cores,
             lambda: self._listed,
             lambda: self._store.has_contact,
-            lambda states: self._desk.take_ended(states),
+            lambda states: self._frontend.record_ended_jobs(states),
             telemetry,
         )
-        self._member.remote_factor = settings.remote_factor
-        telemetry.add_gauges(self._member.describe_groups)
-        self._desk = EntryDesk(self._network, self._member, self._store, self._clock, telemetry)
+        self._coordinator.remote_factor = settings.remote_factor
+        telemetry.add_gauges(self._coordinator.describe_groups)
+        self._frontend = JobFrontend(
+            self._network, self._coordinator, self._store, self._clock, telemetry
+        )
         self._callers = PlatformCallers(
-            self._desk,
+            self._frontend,
             lambda: self._configuration,
             self._check_ready,
             lambda: self._is_stopping,
@@ -116,7 +118,7 @@
             task_group.start_soon(self._follow_configuration)
             task_group.start_soon(self._follow_members)
             task_group.start_soon(self._keep_groups)
-            task_group.start_soon(self._member.run)
+            task_group.start_soon(self._coordinator.run)
             task_group.start_soon(self._settings_reader.run)
             task_group.start_soon(self._follow_signals)
             logger.info("serving on {}", settings.callers_address)
@@ -148,7 +150,7 @@
             logger.warning("stopped with requests unanswered")
 
     def _describe(self) -> dict[str, Any]:
-        view = DaemonView(self._network, self._member, self._clock)
+        view = DaemonView(self._network, self._coordinator, self._clock)
         return view.describe(
             {
                 "ready": self._check_ready(),
@@ -165,15 +167,17 @@
         if settings.store_address != self._settings.store_address:
             self._store.move(settings.store_address)
         self._endpoints.longest_lease_s = settings.longest_lease_s
-        self._member.cores = settings.cores
-        self._member.remote_factor = settings.remote_factor
+        self._coordinator.cores = settings.cores
+        self._coordinator.remote_factor = settings.remote_factor
         self._settings = settings
 
     def _check_ready(self) -> bool:
         if self._is_stopping or not self._configuration.version:
             return False
         store_silence_s = monotonic() - self._store.heard_s
-        has_holder = any(self._member.holder_incarnation(group) for group in self._member.known)
+        has_holder = any(
+            self._coordinator.holder_incarnation(group) for group in self._coordinator.known
+        )
         return has_holder or store_silence_s < STORE_SILENCE_S
 
     async def _fetch_peer_key(self) -> bytes:
@@ -218,7 +222,7 @@
             await self._follow_groups.wait()
             self._follow_groups = Event()
             try:
-                is_complete = await self._member.follow(set(self._configuration.services))
+                is_complete = await self._coordinator.follow(set(self._configuration.services))
             except StoreError as error:
                 logger.info("the groups are not known yet: {}", error.message)
                 is_complete = False
@@ -308,7 +312,7 @@
     async def _stop(self) -> None:
         """Answers what is in flight, within the time before SIGKILL."""
         logger.info("stopping")
-        self._member.leave()
+        self._coordinator.leave()
         self._network.announce_leaving()
         with move_on_after(self._settings.stop_grace_s * ANSWERING_SHARE):
             await sleep(min(BALANCER_NOTICE_S, self._settings.stop_grace_s / 2))
--- a/berylproxy/platform/endpoints.py
+++ b/berylproxy/platform/endpoints.py
@@ -10,8 +10,8 @@
 from berylproxy.durable.models import (
     EndedRun,
     EndKind,
-    EndpointFacts,
-    EndpointLife,
+    EndpointInfo,
+    EndpointInstance,
     EndpointReport,
     Needs,
     RunningTask,
@@ -20,7 +20,7 @@
 from berylproxy.durable.ports import (
     EndpointCallError,
     FencedOffError,
-    OtherLifeError,
+    OtherInstanceError,
     StartOrder,
     StartOutcome,
 )
@@ -31,7 +31,7 @@
 LIST_PREFIX = "servers/"
 CALL_TIMEOUT_S = 0.25  # a runner answers in some 4 ms
 CONNECT_TIMEOUT_S = 0.2
-LIFE_HEADER = "Berylproxy-Expect-Instance"
+INSTANCE_HEADER = "Berylproxy-Expect-Instance"
 OTHER_LIFE_STATUS = 421
 STATES = ("ready", "draining")
 UNHEALTHY_STATUSES = (429, 503)  # nothing was done
@@ -58,33 +58,33 @@
         self.longest_lease_s = longest_lease_s
         self._reported: set[str] = set()
 
-    async def fetch(self) -> tuple[EndpointFacts, ...]:
+    async def fetch(self) -> tuple[EndpointInfo, ...]:
         """Reads the list; entries that can't be read are left out and logged once."""
-        facts, after_key, has_more = [], "", True
+        info, after_key, has_more = [], "", True
         while has_more:
             page = await self._store.read_page(LIST_PREFIX, after_key)
             for entry in page.entries:
                 after_key = entry.key
                 decoded = decode_entry(entry)
                 if decoded is not None:
-                    facts.append(decoded)
+                    info.append(decoded)
                 elif entry.key not in self._reported:
                     self._reported.add(entry.key)
                     logger.warning("list entry {} names no endpoint", entry.key)
             has_more = page.has_more and bool(page.entries)
-        return tuple(facts)
+        return tuple(info)
 
-    def connect(self, facts: EndpointFacts) -> "PlatformEndpoint":
+    def connect(self, info: EndpointInfo) -> "PlatformEndpoint":
         """Makes the calls to a runner."""
-        return PlatformEndpoint(facts, self.longest_lease_s)
+        return PlatformEndpoint(info, self.longest_lease_s)
 
 
 class PlatformEndpoint:
     """Implements :class:`berylproxy.durable.ports.EndpointCalls`."""
 
-    def __init__(self, facts: EndpointFacts, longest_lease_s: float) -> None:
-        self._http = HttpExchange(facts.address, CONNECT_TIMEOUT_S)
-        self._headers = {LIFE_HEADER: facts.life.endpoint_id}
+    def __init__(self, info: EndpointInfo, longest_lease_s: float) -> None:
+        self._http = HttpExchange(info.address, CONNECT_TIMEOUT_S)
+        self._headers = {INSTANCE_HEADER: info.instance.endpoint_id}
         self._lease_s = longest_lease_s
         self._clock = LeaseClock()
 
@@ -154,7 +154,7 @@
 
     def _check(self, answer: HttpAnswer) -> dict[str, Any]:
         if answer.status == OTHER_LIFE_STATUS:
-            raise OtherLifeError("another life of the runner answers")
+            raise OtherInstanceError("another life of the runner answers")
         if answer.status not in (200, 409):
             raise EndpointCallError(f"the runner answered {answer.status}")
         content = _read_object(answer)
@@ -163,7 +163,7 @@
         return content
 
 
-def decode_entry(entry: Entry) -> EndpointFacts | None:
+def decode_entry(entry: Entry) -> EndpointInfo | None:
     """Decodes an entry of the list; ``None`` if it names no endpoint to use."""
     try:
         content = orjson.loads(entry.value)
@@ -184,8 +184,8 @@
         return None
     # "born" is the Unix millisecond of the runner's start; one id may have several lives.
     born = content.get("born", 0)
-    return EndpointFacts(
-        EndpointLife(entry.key.removeprefix(LIST_PREFIX), born if isinstance(born, int) else 0),
+    return EndpointInfo(
+        EndpointInstance(entry.key.removeprefix(LIST_PREFIX), born if isinstance(born, int) else 0),
         service,
         address,
         zone,
--- a/standins/runner.py
+++ b/standins/runner.py
@@ -12,7 +12,7 @@
 from starlette.responses import JSONResponse, Response
 from starlette.routing import Route
 
-from berylproxy.durable.models import EndpointFacts, EndpointLife, Needs, TaskName
+from berylproxy.durable.models import EndpointInfo, EndpointInstance, Needs, TaskName
 from berylproxy.durable.ports import StartOrder, StartOutcome
 from standins.runner_model import RunnerModel
 from standins.serving import announce, open_listener, port_of, serve_app
@@ -37,10 +37,10 @@
         self.store_url = arguments.store_url
         self.began_s = monotonic()
         self.born_ms = int(time() * 1000)
-        life = EndpointLife(arguments.name, self.born_ms)
+        instance = EndpointInstance(arguments.name, self.born_ms)
         capacity = Needs(arguments.cores * 1000, 128_000)
-        facts = EndpointFacts(life, arguments.service, "", "a", capacity)
-        self.model = RunnerModel(facts, run_time_s=arguments.run_time_s)
+        info = EndpointInfo(instance, arguments.service, "", "a", capacity)
+        self.model = RunnerModel(info, run_time_s=arguments.run_time_s)
         self.advertised = arguments.advertise
         if arguments.history_path:
             self.history_path = Path(arguments.history_path)
@@ -127,7 +127,7 @@
                     "version": "v1",
                     "slots": 8,
                     "state": "ready",
-                    "capacity": {"cpu": self.model.facts.capacity.cpu_millicores, "mem-mb": 128000},
+                    "capacity": {"cpu": self.model.info.capacity.cpu_millicores, "mem-mb": 128000},
                     "labels": ["a", "r1-1"],
                     "born": self.born_ms,
                     "seq": sequence,
--- a/standins/runner_model.py
+++ b/standins/runner_model.py
@@ -6,7 +6,7 @@
 
 from anyio import Event
 
-from berylproxy.durable.models import EndedRun, EndKind, EndpointFacts, TaskName
+from berylproxy.durable.models import EndedRun, EndKind, EndpointInfo, TaskName
 from berylproxy.durable.ports import StartOrder, StartOutcome
 
 
@@ -36,7 +36,7 @@
     :ivar kinds: how the runs of a job end, by its identifier; done unless named.
     """
 
-    facts: EndpointFacts
+    info: EndpointInfo
     run_time_s: float = 0.05
     cut_fences: set = field(default_factory=set)
     lost_starts: int = 0
--- a/tests/steps/durable_decisions_steps.py
+++ b/tests/steps/durable_decisions_steps.py
@@ -9,10 +9,9 @@
 from msgpack import packb
 
 from berylproxy.durable.acceptance import judge
-from berylproxy.durable.book import JobBook
 from berylproxy.durable.contention import (
     Candidate,
-    HolderSight,
+    HolderObservation,
     is_suspect,
     may_hold_provisionally,
     may_replace,
@@ -23,12 +22,13 @@
 from berylproxy.durable.estimates import RunTimeModel
 from berylproxy.durable.fleet import EndpointState
 from berylproxy.durable.groups import choose_group, count_groups, is_settled, list_groups
+from berylproxy.durable.job_table import JobTable
 from berylproxy.durable.leases import LeaseClock
 from berylproxy.durable.models import (
     EndedRun,
     EndKind,
-    EndpointFacts,
-    EndpointLife,
+    EndpointInfo,
+    EndpointInstance,
     JobSpec,
     Needs,
     QueueTerms,
@@ -51,19 +51,19 @@
 def make_state(name, cores=64, rack=""):
     """Makes an endpoint that takes tasks."""
     capacity = Needs(int(cores) * 1000, 128_000)
-    facts = EndpointFacts(EndpointLife(name, 0), GROUP, f"{name}:1", "a", capacity, rack=rack)
-    return EndpointState(facts, contacted_s=0.0)
+    info = EndpointInfo(EndpointInstance(name, 0), GROUP, f"{name}:1", "a", capacity, rack=rack)
+    return EndpointState(info, contacted_s=0.0)
 
 
 def open_job(
-    book, name, *, tasks=1, cores=20, run_time_s=0.2, objective_s=0.4, age_s=0.0, **step_fields
+    job_table, name, *, tasks=1, cores=20, run_time_s=0.2, objective_s=0.4, age_s=0.0, **step_fields
 ):
     """Opens a job that came some time ago; the time is now 100 s."""
     terms = QueueTerms("q", GROUP, max_attempts=3, objective_s=objective_s, objective_factor=0.0)
     fields = {"needs": Needs(cores * 1000), **step_fields}
     step = StepSpec(tasks, estimate_s=run_time_s, **fields)
     spec = JobSpec(name, terms, "", (step,), is_kept=False)
-    job = book.open(StoredJob(spec, 0.0), 100.0 - age_s)
+    job = job_table.open(StoredJob(spec, 0.0), 100.0 - age_s)
     job.expected_s = run_time_s
     return job
 
@@ -76,14 +76,14 @@
     r"(?P<leaving>, and is leaving)?"
 )
 def step_impl(context, silence_s, stream, leaving):
-    context.sight = HolderSight(float(silence_s), stream == "an", bool(leaving))
+    context.observation = HolderObservation(float(silence_s), stream == "an", bool(leaving))
 
 
 @when(
     r"a daemon of rank (?P<own>\d+) that reaches (?P<reached>\d+) of (?P<listed>\d+) others decides"
 )
 def step_impl(context, own, reached, listed):
-    context.claims = should_claim(context.sight, int(own), int(reached), int(listed))
+    context.claims = should_claim(context.observation, int(own), int(reached), int(listed))
 
 
 @then(r"it (?P<verdict>claims|does not claim) the group")
@@ -104,9 +104,9 @@
         counts,
     )
     def check(silence_s, has_stream, is_leaving, own_rank, reached, listed):
-        sight = HolderSight(silence_s, has_stream, is_leaving)
-        if should_claim(sight, own_rank, reached, listed):
-            assert is_suspect(sight)
+        observation = HolderObservation(silence_s, has_stream, is_leaving)
+        if should_claim(observation, own_rank, reached, listed):
+            assert is_suspect(observation)
 
     check()
 
@@ -276,7 +276,7 @@
 
 @then(r'a task of queue "q" with an estimate of 0.1 s is expected to take longer than 0.12 s')
 def step_impl(context):
-    assert context.model.expect_s("q", 0.1) > 0.12
+    assert context.model.expected_run_time_s("q", 0.1) > 0.12
 
 
 @when(r"the learnt run times are stored and read by a daemon that knows nothing")
@@ -292,7 +292,7 @@
     for _ in range(500):
         wiser.learn("q", 0.1, "fast", 5.0)
     adopt_model(wiser, context.stored_model)
-    assert wiser.expect_s("q", 0.0) > 4
+    assert wiser.expected_run_time_s("q", 0.0) > 4
     for damaged in (b"", b"\x01", packb({"queues": [], "speeds": {}}), packb({"queues": 5})):
         try:
             adopt_model(RunTimeModel(), damaged)
@@ -303,21 +303,21 @@
 
 @given(r"jobs that wait:")
 def step_impl(context):
-    book = JobBook()
+    job_table = JobTable()
     for row in context.table:
         open_job(
-            book,
+            job_table,
             row["job"],
             age_s=float(row["age_s"]),
             run_time_s=float(row["run_time_s"]),
             objective_s=float(row["objective_s"]),
         )
-    context.book = book
+    context.job_table = job_table
 
 
 @then(r'they start in the order "(?P<names>[\w ]+)"')
 def step_impl(context, names):
-    ranked = sorted(context.book.waiting_jobs(), key=lambda job: rank_job(job, 100.0, 64.0))
+    ranked = sorted(context.job_table.waiting_jobs(), key=lambda job: rank_job(job, 100.0, 64.0))
     assert [job.spec.job_id for job in ranked] == names.split()
 
 
@@ -337,25 +337,25 @@
 
 @when(r'a task of 20 cores(?: that failed at "(?P<failed_at>\w+)")? is placed')
 def step_impl(context, failed_at=None):
-    book = JobBook()
+    job_table = JobTable()
     for number, fields in enumerate(getattr(context, "impossible", [])):
-        open_job(book, f"first-{number}", age_s=0.1, **fields)
-    job = open_job(book, "j")
+        open_job(job_table, f"first-{number}", age_s=0.1, **fields)
+    job = open_job(job_table, "j")
     if failed_at:
         job.tasks[0, 0].failed_at.add(failed_at)
-    place_all(context, book)
+    place_all(context, job_table)
 
 
-def place_all(context, book, remote_factor=2.0):
+def place_all(context, job_table, remote_factor=2.0):
     """Places what waits, and notes where."""
     context.placed = []
 
     def order(task, endpoint):
-        book.note_ordered(task, endpoint.facts.life, 100.0)
+        job_table.note_ordered(task, endpoint.info.instance, 100.0)
         endpoint.occupy(task.name, task.run, task.step.needs)
         context.placed.append(endpoint)
 
-    place_waiting(book, context.states, context.model, 100.0, order, remote_factor)
+    place_waiting(job_table, context.states, context.model, 100.0, order, remote_factor)
     for endpoint in context.placed:
         for name, run in list(endpoint.present):
             endpoint.vacate(name, run)
@@ -383,9 +383,9 @@
 
 @when(r"a step of (?P<tasks>\d+) tasks of 20 cores that should stay within a rack is placed")
 def step_impl(context, tasks):
-    book = JobBook()
-    open_job(book, "j", tasks=int(tasks), objective_s=3.0, stays_in_rack=True)
-    place_all(context, book)
+    job_table = JobTable()
+    open_job(job_table, "j", tasks=int(tasks), objective_s=3.0, stays_in_rack=True)
+    place_all(context, job_table)
 
 
 @when(
@@ -393,21 +393,21 @@
     r"elsewhere"
 )
 def step_impl(context, rack, cost):
-    book = JobBook()
-    open_job(book, "j", objective_s=3.0, preferred_rack=rack)
-    place_all(context, book, float(cost))
+    job_table = JobTable()
+    open_job(job_table, "j", objective_s=3.0, preferred_rack=rack)
+    place_all(context, job_table, float(cost))
 
 
 @then(r'all (?P<count>\d+) of its tasks run(?: in rack "(?P<rack>\w+)")?')
 def step_impl(context, count, rack=None):
-    racks = [endpoint.facts.rack for endpoint in context.placed]
+    racks = [endpoint.info.rack for endpoint in context.placed]
     assert len(racks) == int(count), racks
     assert rack is None or set(racks) == {rack}, racks
 
 
 @then(r'it runs at "(?P<name>\w+)"')
 def step_impl(context, name):
-    names = [endpoint.facts.life.endpoint_id for endpoint in context.placed]
+    names = [endpoint.info.instance.endpoint_id for endpoint in context.placed]
     assert names == [name], names
 
 
@@ -445,17 +445,17 @@
 @given(r"2 endpoints of 64 cores with (?P<busy_s>[\d.]+) s of work for each")
 def step_impl(context, busy_s):
     context.states = [make_state("a"), make_state("b")]
-    context.book = JobBook()
+    context.job_table = JobTable()
     context.model = RunTimeModel()
     if float(busy_s):
-        open_job(context.book, "busy", tasks=2, cores=54, run_time_s=float(busy_s))
+        open_job(context.job_table, "busy", tasks=2, cores=54, run_time_s=float(busy_s))
 
 
 @when(r"a job of (?P<tasks>\d+) tasks of 20 cores and 0.2 s with an objective of 0.4 s comes")
 def step_impl(context, tasks):
-    draft = open_job(JobBook(), "new", tasks=int(tasks))
+    draft = open_job(JobTable(), "new", tasks=int(tasks))
     context.retry_after_s = judge(
-        draft, context.book.jobs.values(), context.states, context.model, 100.0
+        draft, context.job_table.jobs.values(), context.states, context.model, 100.0
     )
 
 
--- a/tests/steps/durable_holder_steps.py
+++ b/tests/steps/durable_holder_steps.py
@@ -8,10 +8,11 @@
 
 from berylproxy.clock import MonotonicClock
 from berylproxy.durable import outcomes
+from berylproxy.durable.best_effort import JobGivenUpError, JobInterruptedError
 from berylproxy.durable.estimates import RunTimeModel
 from berylproxy.durable.fleet import EndpointList
 from berylproxy.durable.holder import Holder, HolderContext, InheritedEndpoints
-from berylproxy.durable.messages import HandIn
+from berylproxy.durable.messages import JobSubmission
 from berylproxy.durable.models import (
     EndKind,
     JobSpec,
@@ -23,7 +24,6 @@
 )
 from berylproxy.durable.records import FINAL_PREFIX, claim_key, encode_final, final_key, open_key
 from berylproxy.durable.telemetry import Telemetry
-from berylproxy.durable.unkept import JobGivenUpError, JobInterruptedError
 from berylproxy.store.port import Entry
 from tests.support.endpoint_world import FakeDirectory, FakeJobStore, make_endpoint
 from tests.support.runs import find_overlaps
@@ -50,7 +50,7 @@
         self.newest = 0
         self.entry_is_alive = True
         self.replies: dict[str, list] = {}
-        self.endpoint_ids = frozenset(e.facts.life.endpoint_id for e in self.endpoints)
+        self.endpoint_ids = frozenset(e.info.instance.endpoint_id for e in self.endpoints)
         self.portal_context = start_blocking_portal()
         self.portal = self.portal_context.__enter__()
 
@@ -85,7 +85,7 @@
         self.portal.start_task_soon(self.holders[fence].run)
         sleep(0.05)
 
-    def hand_in(
+    def submit(
         self,
         name: str,
         tasks: int,
@@ -102,8 +102,8 @@
         terms = QueueTerms("q", GROUP, max_attempts=MAX_ATTEMPTS, objective_s=objective_s)
         spec = JobSpec(name, terms, "", (StepSpec(tasks, needs, estimate_s),), is_kept)
         holder = self.holders[fence or self.newest]
-        message = HandIn(GROUP, spec, attempt, ANSWER_TIMEOUT_S, former_fence)
-        future = self.portal.start_task_soon(holder.hand_in, message, ENTRY)
+        message = JobSubmission(GROUP, spec, attempt, ANSWER_TIMEOUT_S, former_fence)
+        future = self.portal.start_task_soon(holder.submit, message, ENTRY)
         self.replies.setdefault(name, []).append(future)
         sleep(0.02)
 
@@ -190,7 +190,7 @@
 
 @when(r'(?P<kept>kept )?job "(?P<name>\w+)" of (?P<tasks>\d+) tasks? is handed in')
 def step_impl(context, kept, name, tasks):
-    context.holder_world.hand_in(name, int(tasks), is_kept=bool(kept))
+    context.holder_world.submit(name, int(tasks), is_kept=bool(kept))
 
 
 @when(r"the holder with fence (?P<fence>\d+) ends, after which endpoint 1 is missing in the list")
@@ -217,7 +217,7 @@
     world = context.holder_world
     fences = sorted(world.holders)
     former_fence = int(former) if former else fences[-2] if len(fences) > 1 else fences[-1]
-    world.hand_in(name, int(tasks), attempt=1, former_fence=former_fence)
+    world.submit(name, int(tasks), attempt=1, former_fence=former_fence)
 
 
 @when(
@@ -225,7 +225,7 @@
     r"(?P<fence>\d+)"
 )
 def step_impl(context, name, tasks, fence):
-    context.holder_world.hand_in(name, int(tasks), fence=int(fence))
+    context.holder_world.submit(name, int(tasks), fence=int(fence))
 
 
 @given(r"endpoint (?P<number>\d+) is cut off from holders with fence (?P<fence>\d+)")
@@ -262,7 +262,7 @@
     async def order_and_drop():
         terms = QueueTerms("q", GROUP, objective_s=ANSWER_TIMEOUT_S)
         spec = JobSpec(name, terms, "", (StepSpec(1, Needs(TASK_CPU_MILLICORES), 0.1),), False)
-        job = holder.book.open(StoredJob(spec, 0.0), monotonic(), entry=ENTRY)
+        job = holder.job_table.open(StoredJob(spec, 0.0), monotonic(), entry=ENTRY)
         holder.group.order(job.tasks[0, 0], next(iter(holder.group.endpoints.values())))
         holder.drop(name, "its caller has gone")
 
@@ -307,12 +307,12 @@
 )
 def step_impl(context, name, tasks, estimate_s):
     world = context.holder_world
-    world.hand_in(name, int(tasks), is_kept=True, estimate_s=float(estimate_s))
+    world.submit(name, int(tasks), is_kept=True, estimate_s=float(estimate_s))
 
 
 @when(r'urgent job "(?P<name>\w+)" of (?P<tasks>\d+) tasks is handed in')
 def step_impl(context, name, tasks):
-    context.holder_world.hand_in(name, int(tasks), objective_s=URGENT_OBJECTIVE_S)
+    context.holder_world.submit(name, int(tasks), objective_s=URGENT_OBJECTIVE_S)
 
 
 @then(r'job "(?P<name>\w+)" was given up within (?P<wait_s>[\d.]+) s')
@@ -407,7 +407,7 @@
 
 @then(r'kept job "(?P<name>\w+)" is refused')
 def step_impl(context, name):
-    context.holder_world.hand_in(name, 1, is_kept=True)
+    context.holder_world.submit(name, 1, is_kept=True)
     reply = context.holder_world.replies[name][-1].result(ANSWER_TIMEOUT_S)
     assert reply.refusal and reply.retry_after_s, reply
 
--- a/tests/steps/durable_load_steps.py
+++ b/tests/steps/durable_load_steps.py
@@ -25,7 +25,7 @@
 def fastest_with_room(job, task, usable, model, now_s, near):
     """Takes the fastest endpoint with room."""
     fitting = [endpoint for endpoint in usable if task.step.needs.fits(endpoint.room)]
-    speed = {id(e): model.speed(e.facts.life.endpoint_id) for e in fitting}
+    speed = {id(e): model.speed(e.info.instance.endpoint_id) for e in fitting}
     return max(fitting, key=lambda endpoint: speed[id(endpoint)], default=None)
 
 
--- a/tests/steps/durable_member_steps.py
+++ b/tests/steps/durable_member_steps.py
@@ -6,9 +6,9 @@
 from behave import given, then, use_step_matcher, when
 
 from berylproxy.clock import MonotonicClock
+from berylproxy.durable.coordinator import GroupCoordinator
 from berylproxy.durable.estimates import RunTimeModel
 from berylproxy.durable.groups import list_groups
-from berylproxy.durable.member import DurableMember
 from berylproxy.durable.records import division_key, encode_division, encode_model, model_key
 from berylproxy.durable.telemetry import Telemetry
 from berylproxy.models import DaemonIdentity
@@ -51,7 +51,7 @@
         model.learn(QUEUE, 0.0, "e1", LEARNT_S)
     for group in list_groups(SERVICE, GROUPS):
         write(context.store, model_key(group), encode_model(model))
-    context.member = DurableMember(
+    context.coordinator = GroupCoordinator(
         make_network(),
         context.store,
         FakeDirectory([]),
@@ -72,10 +72,10 @@
 @when(r"it has kept itself ready for (?P<time_s>[\d.]+) s")
 def step_impl(context, time_s):
     async def keep_ready():
-        assert await context.member.follow({SERVICE})
+        assert await context.coordinator.follow({SERVICE})
         context.followed = context.store.reads["key"]
         with move_on_after(float(time_s)):
-            await context.member._keep_prepared()
+            await context.coordinator._keep_prepared()
 
     run(keep_ready)
 
@@ -96,5 +96,5 @@
 def step_impl(context, expected_s, rest):
     groups = list_groups(SERVICE, GROUPS)[1 if rest else 0 :]
     for group in groups:
-        found_s = context.member._models[group].expect_s(QUEUE, 0.0)
+        found_s = context.coordinator._models[group].expected_run_time_s(QUEUE, 0.0)
         assert abs(found_s - float(expected_s)) < 0.05, (group, found_s)
--- a/tests/steps/place_steps.py
+++ b/tests/steps/place_steps.py
@@ -24,7 +24,7 @@
     """Adds run times of one endpoint and notes what is expected after each."""
     for run_time_s in run_times_s:
         context.run_times.add("e0", SERVICE, run_time_s)
-        context.expectations_s.append(context.run_times.expect_s("e0", SERVICE, 9.0))
+        context.expectations_s.append(context.run_times.expected_run_time_s("e0", SERVICE, 9.0))
 
 
 @when(
@@ -54,7 +54,7 @@
 
 @then("another endpoint is expected to take {expected:g} s")
 def step_other(context, expected):
-    assert abs(context.run_times.expect_s("e1", SERVICE, 9.0) - expected) < 1e-9
+    assert abs(context.run_times.expected_run_time_s("e1", SERVICE, 9.0) - expected) < 1e-9
 
 
 @given("an endpoint that takes 0.1 s with no free slot, and one that takes 0.2 s with a free one")
--- a/tests/steps/platform_status_steps.py
+++ b/tests/steps/platform_status_steps.py
@@ -9,7 +9,7 @@
 
 from berylproxy.platform.settings import METRICS_PORT
 from standins.process import ROOT
-from tests.steps.platform_system_steps import hand_in, new_job_id
+from tests.steps.platform_system_steps import new_job_id, submit_jobs
 from tests.support.platform_cluster import HOST, PREFIX, host_of
 
 BERYLCTL_TIMEOUT_S = 20.0
@@ -65,7 +65,7 @@
 
 @when(r"(?P<jobs>\d+) platform jobs of (?P<tasks>\d+) tasks are handed to daemon 0")
 def step_impl(context, jobs, tasks):
-    hand_in(context, [0] * int(jobs), int(tasks))
+    submit_jobs(context, [0] * int(jobs), int(tasks))
 
 
 @then(r"some of them are answered 429 with Retry-After before their time is over")
--- a/tests/steps/platform_system_steps.py
+++ b/tests/steps/platform_system_steps.py
@@ -25,7 +25,7 @@
     return f"{next(job_numbers):016x}"
 
 
-def hand_in(context, daemons, tasks):
+def submit_jobs(context, daemons, tasks):
     """Hands one job to each of some daemons, without waiting for the answers."""
     cluster = context.platform_cluster
     context.answers = [
@@ -68,7 +68,7 @@
 
 @when(r"platform jobs of (?P<tasks>\d+) tasks? are handed to each daemon")
 def step_impl(context, tasks):
-    hand_in(context, range(len(context.platform_cluster.daemons)), int(tasks))
+    submit_jobs(context, range(len(context.platform_cluster.daemons)), int(tasks))
 
 
 @when(
@@ -78,7 +78,7 @@
 def step_impl(context, tasks, fate):
     cluster = context.platform_cluster
     holder = cluster.find_holder()
-    hand_in(context, [n for n in range(len(cluster.daemons)) if n != holder], int(tasks))
+    submit_jobs(context, [n for n in range(len(cluster.daemons)) if n != holder], int(tasks))
     sleep(0.2)
     if fate == "killed":
         cluster.daemons[holder].kill()
@@ -95,7 +95,7 @@
 def step_impl(context, tasks, meanwhile=None):
     cluster = context.platform_cluster
     holder = cluster.find_holder()
-    hand_in(context, range(len(cluster.daemons)), int(tasks))
+    submit_jobs(context, range(len(cluster.daemons)), int(tasks))
     sleep(0.2)
     if meanwhile:
         cluster.daemons[holder].send_signal(signal.SIGTERM)
--- a/tests/steps/platform_wire_steps.py
+++ b/tests/steps/platform_wire_steps.py
@@ -76,13 +76,13 @@
 
 @then(r"it names (?P<verdict>an endpoint|a leaving one|nothing)")
 def step_impl(context, verdict):
-    facts = decode_entry(Entry("servers/e1", context.entry_bytes, 1))
+    info = decode_entry(Entry("servers/e1", context.entry_bytes, 1))
     if verdict == "nothing":
-        assert facts is None, facts
+        assert info is None, info
         return
-    assert facts.life.endpoint_id == "e1"
-    assert facts.leaving == (verdict == "a leaving one")
-    assert (facts.kind, facts.rack) == ("b", "r1-2")
+    assert info.instance.endpoint_id == "e1"
+    assert info.leaving == (verdict == "a leaving one")
+    assert (info.kind, info.rack) == ("b", "r1-2")
 
 
 @when(r"this report of a runner is decoded:")
--- a/tests/support/endpoint_world.py
+++ b/tests/support/endpoint_world.py
@@ -6,8 +6,8 @@
 from anyio import move_on_after, sleep
 
 from berylproxy.durable.models import (
-    EndpointFacts,
-    EndpointLife,
+    EndpointInfo,
+    EndpointInstance,
     EndpointReport,
     Needs,
     RunningTask,
@@ -102,13 +102,15 @@
     def __init__(self, endpoints: list[RunnerModel]) -> None:
         self.endpoints = endpoints
 
-    async def fetch(self) -> tuple[EndpointFacts, ...]:
+    async def fetch(self) -> tuple[EndpointInfo, ...]:
         """Reads the list."""
-        return tuple(endpoint.facts for endpoint in self.endpoints)
+        return tuple(endpoint.info for endpoint in self.endpoints)
 
-    def connect(self, facts: EndpointFacts) -> FakeEndpointCalls:
+    def connect(self, info: EndpointInfo) -> FakeEndpointCalls:
         """Makes the calls to an endpoint."""
-        return FakeEndpointCalls(next(e for e in self.endpoints if e.facts.life == facts.life))
+        return FakeEndpointCalls(
+            next(e for e in self.endpoints if e.info.instance == info.instance)
+        )
 
 
 class FakeJobStore:
@@ -173,6 +175,6 @@
 
 def make_endpoint(name: str, cores: int = 64) -> RunnerModel:
     """Makes an endpoint of some size."""
-    life = EndpointLife(name, 0)
+    instance = EndpointInstance(name, 0)
     capacity = Needs(cores * 1000, 128_000)
-    return RunnerModel(EndpointFacts(life, "ledger", f"{name}:1", "a", capacity))
+    return RunnerModel(EndpointInfo(instance, "ledger", f"{name}:1", "a", capacity))
--- a/tests/support/load_play.py
+++ b/tests/support/load_play.py
@@ -8,14 +8,14 @@
 
 from berylproxy.durable import placement
 from berylproxy.durable.acceptance import judge
-from berylproxy.durable.book import Job, JobBook, Task
 from berylproxy.durable.estimates import RunTimeModel
 from berylproxy.durable.fleet import EndpointState
+from berylproxy.durable.job_table import Job, JobTable, Task
 from berylproxy.durable.models import (
     EndedRun,
     EndKind,
-    EndpointFacts,
-    EndpointLife,
+    EndpointInfo,
+    EndpointInstance,
     JobSpec,
     Needs,
     QueueTerms,
@@ -84,14 +84,14 @@
     def __init__(self, seed: int, factors: list[float], backlog_jobs: int = 0) -> None:
         self.random = Random(seed)
         self.factors = factors
-        self.book = JobBook()
+        self.job_table = JobTable()
         self.model = RunTimeModel()
         self.tallies = {kind.queue: Tally() for kind in KINDS}
         self.offers: dict[str, Offer] = {}
         self.now_s = 0.0
         self._events: list = []
         self._numbers = count()
-        self._speeds: dict[EndpointLife, float] = {}
+        self._speeds: dict[EndpointInstance, float] = {}
         self.endpoints = [self._make_endpoint(number) for number in range(24)]
         self._plan_arrivals(backlog_jobs)
 
@@ -100,15 +100,15 @@
         while self._events:
             self.now_s, _, action, arguments = heappop(self._events)
             action(*arguments)
-            place_waiting(self.book, self.endpoints, self.model, self.now_s, self._order)
+            place_waiting(self.job_table, self.endpoints, self.model, self.now_s, self._order)
         return self.tallies
 
     def _make_endpoint(self, number: int) -> EndpointState:
         cores = (64, 64, 96)[number % 3]
-        life = EndpointLife(f"e{number}", 0)
-        self._speeds[life] = (1.6, 1.0, 0.6)[number // 3 % 3]
-        facts = EndpointFacts(life, GROUP, "h:1", "a", Needs(cores * 1000, 256_000))
-        return EndpointState(facts, contacted_s=0.0)
+        instance = EndpointInstance(f"e{number}", 0)
+        self._speeds[instance] = (1.6, 1.0, 0.6)[number // 3 % 3]
+        info = EndpointInfo(instance, GROUP, "h:1", "a", Needs(cores * 1000, 256_000))
+        return EndpointState(info, contacted_s=0.0)
 
     def _plan_arrivals(self, backlog_jobs: int) -> None:
         rates = [kind.per_s for kind in KINDS]
@@ -145,50 +145,50 @@
         step = StepSpec(tasks, Needs(int(cores * 1000), 64), self._spread(work_s, 0.4) * 0.4)
         spec = JobSpec(f"j{next(self._numbers)}", terms, "", (step,), is_kept=False)
         self.tallies[kind.queue].owed += worth
-        draft = self._open(JobBook(), spec)
+        draft = self._open(JobTable(), spec)
         if (
-            judge(draft, self.book.jobs.values(), self.endpoints, self.model, self.now_s)
+            judge(draft, self.job_table.jobs.values(), self.endpoints, self.model, self.now_s)
             is not None
         ):
             self.tallies[kind.queue].outcomes["refused"] += 1
             return
         self.offers[spec.job_id] = offer
-        self._open(self.book, spec)
+        self._open(self.job_table, spec)
 
-    def _open(self, book: JobBook, spec: JobSpec) -> Job:
-        job = book.open(StoredJob(spec, 0.0), self.now_s)
-        job.expected_s = self.model.expect_s(spec.terms.queue, spec.steps[0].estimate_s)
+    def _open(self, job_table: JobTable, spec: JobSpec) -> Job:
+        job = job_table.open(StoredJob(spec, 0.0), self.now_s)
+        job.expected_s = self.model.expected_run_time_s(spec.terms.queue, spec.steps[0].estimate_s)
         return job
 
     def _order(self, task: Task, endpoint: EndpointState) -> None:
-        life = endpoint.facts.life
-        self.book.note_ordered(task, life, self.now_s)
+        instance = endpoint.info.instance
+        self.job_table.note_ordered(task, instance, self.now_s)
         endpoint.occupy(task.name, task.run, task.step.needs)
         work_s = self.offers[task.name.job_id].works_s[task.name.index]
-        took_s = work_s / self._speeds[life] + 2 * MESSAGE_S
+        took_s = work_s / self._speeds[instance] + 2 * MESSAGE_S
         self._at(self.now_s + took_s, self._end, task, task.run, endpoint)
 
     def _end(self, task: Task, run: int, endpoint: EndpointState) -> None:
         endpoint.vacate(task.name, run)
-        found = self.book.find_task(task.name)
+        found = self.job_table.find_task(task.name)
         if found is None:
             return
-        job, life = self.book.jobs[task.name.job_id], endpoint.facts.life
+        job, instance = self.job_table.jobs[task.name.job_id], endpoint.info.instance
         took_s = self.now_s - task.started_s
         queue = job.spec.terms.queue
-        self.model.learn(queue, task.step.estimate_s, life.endpoint_id, took_s)
-        self.book.note_end(task, EndedRun(1, task.name, run, EndKind.DONE, ""), life)
+        self.model.learn(queue, task.step.estimate_s, instance.endpoint_id, took_s)
+        self.job_table.note_end(task, EndedRun(1, task.name, run, EndKind.DONE, ""), instance)
         if job.is_final:
             self._conclude(job, "done")
 
     def _give_up(self) -> None:
-        for job in list(self.book.jobs.values()):
+        for job in list(self.job_table.jobs.values()):
             if placement.is_hopeless(job, self.now_s):
                 for endpoint in self.endpoints:
                     for name, run in list(endpoint.present):
                         if name.job_id == job.spec.job_id:
                             endpoint.vacate(name, run)
-                self.book.cancel(job)
+                self.job_table.cancel(job)
                 self._conclude(job, "broken off" if job.started else "given up")
 
     def _conclude(self, job: Job, outcome: str) -> None:
@@ -201,7 +201,7 @@
                 outcome = "useless"
         tally.outcomes[outcome] += 1
         tally.earned += offer.worth * {"in time": 1.0, "late": 0.2}.get(outcome, 0.0)
-        self.book.close(job)
+        self.job_table.close(job)
 
 
 def summarize(plays: list[dict[str, Tally]]) -> dict[str, float]:
--- a/tools/soak/callers.py
+++ b/tools/soak/callers.py
@@ -88,10 +88,10 @@
                 )
                 with self._lock:
                     self.jobs.append(job)
-                self._hand_in(client, random, job)
+                self._submit_until_accepted(client, random, job)
                 sleep(random.expovariate(1 / MEAN_PAUSE_S))
 
-    def _hand_in(self, client: Client, random: Random, job: SoakJob) -> None:
+    def _submit_until_accepted(self, client: Client, random: Random, job: SoakJob) -> None:
         """Hands a job in; one that is kept again and again until its fate is known."""
         for _ in range(MOST_TRIES if job.is_kept else 1):
             call = self._submit(client, random.randrange(self._daemons), job)
