--- a/berylproxy/durable/best_effort.py
+++ b/berylproxy/durable/best_effort.py
@@ -1,4 +1,4 @@
-"""Jobs that aren't kept: their callers wait for the end, and the holder's memory has them."""
+"""Best-effort jobs: held only in the holder's memory, while their callers wait for the end."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -19,46 +19,53 @@
 RUN_NUMBERS_PER_TENURE = 64  # run numbers of a tenure lie above those of all earlier ones
 
 
-class JobGivenUpError(BerylproxyError):
-    """The job has begun and will not be completed."""
+class JobAbandonedError(BerylproxyError):
+    """The job has begun and is not completed, because it would end too late for its caller."""
 
     code = "job_given_up"
 
 
 class JobInterruptedError(BerylproxyError):
-    """The job was dropped although its caller may still wait: it may be handed in again."""
+    """The job was dropped although its caller may still be waiting; it may be submitted again."""
 
     code = "job_interrupted"
 
 
 @dataclass(frozen=True, slots=True)
 class Admission:
-    """A job that was judged by the load, and has not been opened.
+    """The decision whether to accept a job, which is not in the job table yet.
 
-    :param draft: with what is expected of it.
-    :param refusal: ``None`` if it may be taken.
+    :param stored: the job as it would be stored.
+    :param tentative_job: the job with its deadline and expected run time.
+    :param refusal: reply to the caller; ``None`` if the job is accepted.
     """
 
     stored: StoredJob
-    draft: Job
+    tentative_job: Job
     refusal: JobSubmissionReply | None
 
 
 @dataclass(slots=True, eq=False)
-class Wait:
-    """Callers that wait for the holder's reply; they may give up meanwhile."""
+class SharedReply:
+    """The holder's reply to a job's submissions, shared by all callers that wait for it.
 
-    ended: Event = field(default_factory=Event)
+    The job goes on if a caller stops waiting.
+
+    :ivar answered: set once ``reply`` or ``error`` is, or the tenure is over.
+    """
+
+    answered: Event = field(default_factory=Event)
     reply: JobSubmissionReply | None = None
     error: BerylproxyError | None = None
 
 
 class BestEffortJobs:
-    """Takes, ends and gives up a tenure's jobs that aren't kept.
+    """Accepts, finishes and drops the best-effort jobs of a tenure.
 
-    :param admit: judges a job by its time limit, and whether it must be taken.
-    :param on_reopened: called with a job that a former holder may have begun, the time and that
-        holder's fence.
+    :param admit: decides whether to accept a job, given its deadline and whether it must be
+        accepted.
+    :param on_reopened: called with a job that a former holder may have begun, the monotonic time
+        and that holder's fence.
     """
 
     def __init__(
@@ -76,14 +83,16 @@
         self._log = log
         self._admit = admit
         self._on_reopened = on_reopened
-        self._waits: dict[str, Wait] = {}
+        self._shared_replies: dict[str, SharedReply] = {}
 
     async def run_best_effort(self, message: JobSubmission, entry: str) -> JobSubmissionReply:
-        """Carries a job out and waits for its end.
+        """Runs a job and returns once it has ended; a repeated submission joins the running job.
 
-        :raises JobGivenUpError: if it has begun and can't be of use any more.
-        :raises JobInterruptedError: if it was dropped meanwhile.
-        :raises TenureLostError: if this daemon is not the holder any more.
+        :param entry: incarnation of the entry daemon.
+        :raises JobAbandonedError: if the job has begun and cannot end in time.
+        :raises JobInterruptedError: if the job was dropped meanwhile.
+        :raises NotHolderError: if the tenure ended before the job began.
+        :raises TenureLostError: if the tenure ended before the job did.
         """
         job_id = message.job.job_id
         job, outcome = self._job_table.jobs.get(job_id), self._job_table.state(job_id)
@@ -95,27 +104,30 @@
             reply = self._open(message, entry)
             if reply is not None:
                 return reply
-        wait = self._waits.setdefault(job_id, Wait())
-        await wait.ended.wait()
-        if wait.error is not None:
-            raise wait.error
-        if wait.reply is not None:
-            return wait.reply
+        shared_reply = self._shared_replies.setdefault(job_id, SharedReply())
+        await shared_reply.answered.wait()
+        if shared_reply.error is not None:
+            raise shared_reply.error
+        if shared_reply.reply is not None:
+            return shared_reply.reply
         job = self._job_table.jobs.get(job_id)
         if job is not None and not job.started and not message.attempt:
             raise NotHolderError("the tenure ended before the job began")
-        raise TenureLostError("the tenure ended before the job")
+        raise TenureLostError("the tenure ended before the job did")
 
     def _open(self, message: JobSubmission, entry: str) -> JobSubmissionReply | None:
-        """Takes a job in; returns the answer if there is one already."""
+        """Opens a job; returns the reply if it is refused or has ended already."""
         spec, now_s = message.job, self._tenure.clock.now_s()
-        # A job that an earlier holder took is not refused for a change of holder.
+        # An earlier holder may have accepted the job: a change of holder must not refuse it.
         admission = self._admit(spec, now_s + message.wait_s, message.attempt > 0)
         if admission.refusal is not None:
             return admission.refusal
         first_run = message.attempt * RUN_NUMBERS_PER_TENURE
         job = self._job_table.open(admission.stored, now_s, entry=entry, first_run=first_run)
-        job.expected_s, job.deadline_s = admission.draft.expected_s, admission.draft.deadline_s
+        job.expected_s, job.deadline_s = (
+            admission.tentative_job.expected_s,
+            admission.tentative_job.deadline_s,
+        )
         self._group.adopt_orphans(job, now_s)
         if job.is_final:
             return JobSubmissionReply(state=job.state.value)
@@ -125,37 +137,44 @@
         return None
 
     def drop(self, job_id: str, reason: str) -> None:
-        """Gives a job up: nobody waits for it, as far as this daemon knows.
+        """Stops a job whose caller, as far as this daemon knows, no longer waits for it.
 
-        An entry that is heard again must not take it for its caller's own cancellation.
+        The reply is an error that asks for another submission: if the entry daemon is only cut off
+        for a while, it must not mistake the drop for a cancellation by the caller.
         """
         job = self._job_table.jobs.get(job_id)
         if job is None or job.is_final or job.spec.is_durable:
             return
         self._log.note_dropped(job, reason)
         self._job_table.cancel(job)
-        self.finish(job, error=JobInterruptedError("its entry daemon was not heard"))
+        self.finish(
+            job,
+            error=JobInterruptedError("the job was dropped: its entry daemon was unreachable"),
+        )
 
     def drop_unneeded(self, now_s: float, is_entry_alive: Callable[[str], bool]) -> None:
-        """Ends the jobs that nobody waits for, or whose answer would come too late."""
+        """Ends the jobs whose entry daemon has gone or that cannot end in time."""
         for job in list(self._job_table.jobs.values()):
             if job.spec.is_durable or job.is_final:
                 continue
             if not is_entry_alive(job.entry):
-                self.drop(job.spec.job_id, "its entry daemon is not heard")
+                self.drop(job.spec.job_id, "no message received from its entry daemon")
             elif is_hopeless(job, now_s):
-                self._give_up(job, now_s)
+                self._abandon_late(job, now_s)
 
-    def _give_up(self, job: Job, now_s: float) -> None:
-        """Answers a job at once that can't be of use any more, as refused if it has not begun."""
+    def _abandon_late(self, job: Job, now_s: float) -> None:
+        """Ends a job that cannot end in time, as refused if no task has begun.
+
+        The caller gets its answer at once instead of after its own timeout.
+        """
         waiting = len(job.waiting)
         self._job_table.cancel(job)
         if not job.started:
             self._log.note_refused(job.spec, SHORTEST_RETRY_AFTER_S)
             self.finish(job, JobSubmissionReply(TOO_LATE, SHORTEST_RETRY_AFTER_S))
             return
-        self._log.note_given_up(job, waiting, now_s)
-        self.finish(job, error=JobGivenUpError("it has begun and its answer would come too late"))
+        self._log.note_abandoned(job, waiting, now_s)
+        self.finish(job, error=JobAbandonedError("the job has begun and cannot end in time"))
 
     def finish(
         self,
@@ -163,10 +182,10 @@
         reply: JobSubmissionReply | None = None,
         error: BerylproxyError | None = None,
     ) -> None:
-        """Stops what is left of a job and tells its outcome to who waits for it.
+        """Stops a job's active runs, closes the job and answers the callers that wait for it.
 
-        :param reply: if the job's state is not the whole answer.
-        :param error: if there is no answer.
+        :param reply: reply to the callers; by default the job's state.
+        :param error: error to raise for the callers instead of a reply.
         """
         self._group.stop_active(job)
         job_id = job.spec.job_id
@@ -174,13 +193,13 @@
             return
         self._log.note_ended(job)
         self._job_table.close(job)
-        wait = self._waits.pop(job_id, None)
-        if wait is not None:
-            wait.reply = reply or JobSubmissionReply(state=job.state.value)
-            wait.error = error
-            wait.ended.set()
-
-    def abandon(self) -> None:
-        """Lets who waits ask the next holder: the tenure is over."""
-        for wait in self._waits.values():
-            wait.ended.set()
+        shared_reply = self._shared_replies.pop(job_id, None)
+        if shared_reply is not None:
+            shared_reply.reply = reply or JobSubmissionReply(state=job.state.value)
+            shared_reply.error = error
+            shared_reply.answered.set()
+
+    def release_callers(self) -> None:
+        """Wakes all waiting callers when the tenure is over, so that they retry elsewhere."""
+        for shared_reply in self._shared_replies.values():
+            shared_reply.answered.set()
--- a/berylproxy/durable/frontend.py
+++ b/berylproxy/durable/frontend.py
@@ -9,7 +9,7 @@
 
 from berylproxy.clock import Clock
 from berylproxy.durable.acceptance import TOO_LATE
-from berylproxy.durable.best_effort import JobGivenUpError
+from berylproxy.durable.best_effort import JobAbandonedError
 from berylproxy.durable.coordinator import GroupCoordinator
 from berylproxy.durable.ledger import NotHolderError, TenureLostError
 from berylproxy.durable.messages import (
@@ -109,7 +109,7 @@
                     await sleep(RETRY_PAUSE_S)
                     continue
                 except BerylproxyError as error:
-                    if error.code == JobGivenUpError.code:
+                    if error.code == JobAbandonedError.code:
                         raise NotKnownError(error.message) from error
                     logger.info(
                         "job handed in again: {}",
--- a/berylproxy/durable/group.py
+++ b/berylproxy/durable/group.py
@@ -318,7 +318,7 @@
         self, endpoint: EndpointState, task: Task, end: EndedRun, now_s: float
     ) -> None:
         instance = endpoint.info.instance
-        is_closed = not task.failed_at and endpoint.note_failure(now_s)
+        is_closed = not task.failed_endpoint_ids and endpoint.note_failure(now_s)
         if is_closed:
             self._tenure.telemetry.count("endpoint_closures", reason="failures")
         logger.info(
--- a/berylproxy/durable/holder.py
+++ b/berylproxy/durable/holder.py
@@ -1,4 +1,4 @@
-"""Carries out a group's jobs while this daemon holds the claim on its endpoints."""
+"""The holder of an endpoint group: accepts its jobs and runs them while its claim is in force."""
 
 from collections.abc import Callable, Set
 from dataclasses import dataclass
@@ -15,7 +15,12 @@
     TOO_LATE,
     judge,
 )
-from berylproxy.durable.best_effort import RUN_NUMBERS_PER_TENURE, Admission, BestEffortJobs, Wait
+from berylproxy.durable.best_effort import (
+    RUN_NUMBERS_PER_TENURE,
+    Admission,
+    BestEffortJobs,
+    SharedReply,
+)
 from berylproxy.durable.contention import FENCES_PER_CLAIM
 from berylproxy.durable.estimates import RunTimeModel
 from berylproxy.durable.fleet import EndpointList
@@ -67,24 +72,26 @@
     StoreUnavailableError,
 )
 
-HEARTBEAT_INTERVAL_S = 0.15  # a third of the silence after which others take over
-TICK_S = 0.05
+HEARTBEAT_INTERVAL_S = 0.15  # other daemons take over after three missed heartbeats
+TICK_INTERVAL_S = 0.05
 RETRY_PAUSE_S = 0.05
-LEASE_LENGTH_S = 1.0  # the longest that endpoints grant
-TENURE_CHECK_S = 0.4
-MODEL_INTERVAL_S = 2.0  # a successor knows all but the last run times
-LONE_TENURE_S = 1.5  # without the store, while some other daemon may have it
-OUTAGE_TENURE_S = 10.0  # without the store, while no other daemon has it
-FOREIGN_TENURE_S = LONE_TENURE_S + LEASE_LENGTH_S + 0.3  # until a former holder's leases lapsed
+LEASE_LENGTH_S = 1.0  # the longest lease that endpoints grant
+CLAIM_CHECK_INTERVAL_S = 0.4
+MODEL_STORE_INTERVAL_S = 2.0  # a successor lacks at most the run times of this period
+# Limits of a tenure with durable jobs while the store does not answer this daemon:
+UNCONFIRMED_TENURE_S = 1.5  # another daemon may reach the store and replace the claim
+OUTAGE_TENURE_S = 10.0  # no other daemon can reach the store either
+# After that time, the leases that a former holder extended have lapsed.
+FORMER_TENURE_LIMIT_S = UNCONFIRMED_TENURE_S + LEASE_LENGTH_S + 0.3
 
 logger = Logger(__name__)
 
 
 @dataclass(frozen=True, slots=True)
 class InheritedEndpoints:
-    """Endpoints that a former holder used, by its last heartbeat.
+    """Endpoints to which a former holder had given work, according to its last heartbeat.
 
-    :param fence: of that holder.
+    :param fence: fence of the former holder.
     """
 
     fence: int
@@ -93,9 +100,10 @@
 
 @dataclass(frozen=True, slots=True)
 class UnresolvedJob:
-    """A job that a former holder may be carrying out at endpoints that are not contacted yet.
+    """A job that may still run, for a former holder, at endpoints that have not answered yet.
 
-    :param former_fence: of that holder; 0 if it is the one before this.
+    :param since_s: monotonic time at which the job was loaded or submitted again.
+    :param former_fence: fence of the former holder; 0 for the direct predecessor.
     """
 
     job: Job
@@ -103,27 +111,30 @@
     former_fence: int
 
 
-def can_resolve(age_s: float, are_contacted: bool, is_complete: bool) -> bool:
-    """Tells whether a task that no endpoint shows is certainly not running.
+def can_resolve(age_s: float, are_contacted: bool, are_former_listed: bool) -> bool:
+    """Returns whether a task that no endpoint reports is certainly not running.
 
-    :param age_s: time since the job was loaded or handed in again.
-    :param are_contacted: whether all listed endpoints follow this holder's fence.
-    :param is_complete: whether all endpoints that the former holder used are listed.
+    :param age_s: time since the job was loaded or submitted again.
+    :param are_contacted: whether all listed endpoints have accepted this holder's fence.
+    :param are_former_listed: whether all endpoints that the former holder used are listed.
     """
     if not are_contacted:
-        return age_s >= FOREIGN_TENURE_S
-    return is_complete or age_s >= LEASE_LENGTH_S + HEARTBEAT_INTERVAL_S
+        return age_s >= FORMER_TENURE_LIMIT_S
+    return are_former_listed or age_s >= LEASE_LENGTH_S + HEARTBEAT_INTERVAL_S
 
 
-def covers_former(
+def are_former_endpoints_listed(
     inherited: InheritedEndpoints | None, former_fence: int, listed: Set[str]
 ) -> bool:
-    """Tells whether all endpoints that a former holder used are listed.
+    """Returns whether all endpoints that a former holder used are listed.
 
-    A provisional holder uses endpoints whose entries may have lapsed while its failure domain was
-    cut off, more of them than its last heartbeat told.
+    For a provisional holder that is never certain: it may have used more endpoints than its last
+    heartbeat named, and their entries may have lapsed while its failure domain was cut off.
 
-    :param former_fence: of the holder that may have begun the job; 0 for the one before.
+    :param inherited: endpoints of the last known holder; ``None`` if they are unknown.
+    :param former_fence: fence of the holder that may have begun the job; 0 for the direct
+        predecessor.
+    :param listed: identifiers of the endpoints in the platform's list.
     """
     if inherited is None or former_fence % FENCES_PER_CLAIM:
         return False
@@ -132,37 +143,40 @@
 
 @dataclass(frozen=True, slots=True)
 class HolderContext:
-    """What every tenure of a daemon shares.
-
-    :param known_list: the list of endpoints as this daemon has last read it.
-    :param group_of: names the group of an endpoint, by its service and its identifier.
-    :param notify: sends a message without reply to an incarnation.
-    :param members: lists the incarnations of the other live daemons.
-    :param has_store_elsewhere: tells whether any other daemon may reach the store; ``True`` also
-        while too few are heard of.
-    :param is_entry_alive: tells whether the daemon that handed a job in was heard just now.
-    :param remote_factor: run time of a task away from its data, against near it.
+    """Dependencies that all tenures of a daemon share.
+
+    :param endpoint_list: the list of endpoints that this daemon read last.
+    :param group_of: returns the group of an endpoint, given its service and its identifier.
+    :param notify: sends a message without a reply to an incarnation.
+    :param members: returns the incarnations of the other live daemons.
+    :param may_others_reach_store: returns whether any other daemon may reach the store; ``True``
+        also while messages arrive from too few daemons to know.
+    :param is_entry_alive: returns whether a message from the entry daemon of a job, given its
+        incarnation, has arrived recently.
+    :param remote_factor: returns the run time of a task away from its data, relative to its run
+        time near the data.
     """
 
     store: JobStore
     directory: EndpointDirectory
-    known_list: EndpointList
+    endpoint_list: EndpointList
     group_of: Callable[[str, str], str]
     clock: Clock
     telemetry: Telemetry
     notify: Callable[[str, object], None]
     members: Callable[[], list[str]]
-    has_store_elsewhere: Callable[[], bool]
+    may_others_reach_store: Callable[[], bool]
     is_entry_alive: Callable[[str], bool]
     remote_factor: Callable[[], float]
 
 
 class Holder:
-    """One tenure over one group.
+    """Accepts, places and finishes the jobs of one group during one tenure.
 
-    :param fence: under which endpoints take orders.
+    :param fence: fencing token of the orders to endpoints.
     :param claim_revision: revision of the claim; 0 for a provisional holder, which has none.
-    :param inherited: ``None`` if nothing is known of the former holder.
+    :param inherited: endpoints of the former holder; ``None`` if nothing is known about it.
+    :param model: run times learned so far, which this holder goes on learning.
     """
 
     def __init__(
@@ -188,7 +202,7 @@
         self.group = EndpointGroup(
             tenure,
             context.directory,
-            context.known_list,
+            context.endpoint_list,
             self.job_table,
             model,
             lambda info: context.group_of(info.service, info.instance.endpoint_id) == group,
@@ -207,29 +221,29 @@
             lambda job, now_s, former: self._unresolved.append(UnresolvedJob(job, now_s, former)),
         )
         self._unresolved: list[UnresolvedJob] = []
-        self._handing_in: dict[str, Wait] = {}
-        self._uncertain: set[str] = set()
+        self._pending_submissions: dict[str, SharedReply] = {}
+        self._possibly_stored: set[str] = set()
         self._pauses = PauseDetector(context.clock)
 
     async def run(self) -> None:
-        """Works until the tenure ends."""
+        """Loads the open jobs and serves the group until the tenure ends."""
         try:
             async with create_task_group() as task_group:
                 self.tenure.task_group = task_group
                 task_group.start_soon(self._send_heartbeats)
                 task_group.start_soon(self.group.follow_directory)
-                task_group.start_soon(self._keep_placing)
-                task_group.start_soon(self._tick)
+                task_group.start_soon(self._place_tasks)
+                task_group.start_soon(self._run_periodic_checks)
                 if self.tenure.claim_revision:
                     task_group.start_soon(self._ledger.run)
-                    task_group.start_soon(self._watch_claim)
+                    task_group.start_soon(self._recheck_claim)
                     task_group.start_soon(self._store_model)
                     task_group.start_soon(self._outcomes.sweep, self._store)
                     await self._load_jobs()
         finally:
             self.tenure.task_group = None
             self._outcomes.abandon()
-            self._best_effort_jobs.abandon()
+            self._best_effort_jobs.release_callers()
             await self.group.close()
 
     async def _load_jobs(self) -> None:
@@ -240,7 +254,7 @@
                     open_prefix(self.tenure.group), after_key
                 )
             except StoreError as error:
-                logger.info("open jobs can't be listed yet: {}", error.message)
+                logger.info("open jobs cannot be listed yet, retrying: {}", error.message)
                 await sleep(RETRY_PAUSE_S)
                 continue
             for entry in entries:
@@ -258,19 +272,27 @@
         try:
             stored = decode_job(value)
         except StoredValueError as error:
-            logger.error("open job {} left alone: {}", key, error.message)
+            logger.error(
+                "open job {} skipped, its stored record cannot be decoded: {}", key, error.message
+            )
             return
         now_s = self._clock.now_s()
         age_s = max(time() - stored.accepted_unix_s, 0.0)
         first_run = self.tenure.fence * RUN_NUMBERS_PER_TENURE
         job = self.job_table.open(stored, now_s - age_s, first_run=first_run)
-        job.expected_s = self._expect(stored.spec)
+        job.expected_s = self._expected_run_time_s(stored.spec)
         self._unresolved.append(UnresolvedJob(job, now_s, 0))
 
     async def submit(self, message: JobSubmission, entry: str) -> JobSubmissionReply:
-        """Stores a job and begins to carry it out, or refuses it; waits for one that isn't kept.
+        """Accepts or refuses a job.
 
-        :raises TenureLostError: if this daemon is not the holder any more.
+        Returns for a durable job as soon as it is stored, for a best-effort job once it has ended.
+
+        :param entry: incarnation of the entry daemon.
+        :raises NotHolderError: if this daemon is not the holder, or has not loaded the open jobs.
+        :raises TenureLostError: if the tenure ended before a best-effort job did.
+        :raises JobAbandonedError: if a best-effort job has begun and cannot end in time.
+        :raises JobInterruptedError: if a best-effort job was dropped meanwhile.
         :raises StoreError: if it is not known whether the job is stored.
         """
         spec = message.job
@@ -282,36 +304,40 @@
             return JobSubmissionReply("the store is not available", SHORTEST_RETRY_AFTER_S)
         if not self.is_loaded:
             raise NotHolderError("the open jobs are not loaded yet")
-        if spec.job_id in self._handing_in:
-            acceptance = self._handing_in[spec.job_id]
+        if spec.job_id in self._pending_submissions:
+            shared_reply = self._pending_submissions[spec.job_id]
         elif self.job_table.state(spec.job_id) is not None:
             job = self.job_table.jobs.get(spec.job_id)
             if job is not None:
                 job.entry = entry
             return JobSubmissionReply()
         else:
-            acceptance = self._handing_in[spec.job_id] = Wait()
-            self.tenure.spawn(self._conclude, acceptance, spec, entry)
-        await acceptance.ended.wait()
-        if acceptance.reply is None:
-            raise acceptance.error or StoreOutcomeUnknownError("the tenure ended meanwhile")
-        return acceptance.reply
-
-    async def _conclude(self, acceptance: Wait, spec: JobSpec, entry: str) -> None:
+            shared_reply = self._pending_submissions[spec.job_id] = SharedReply()
+            self.tenure.spawn(self._complete_submission, shared_reply, spec, entry)
+        await shared_reply.answered.wait()
+        if shared_reply.reply is None:
+            raise shared_reply.error or StoreOutcomeUnknownError(
+                "the tenure ended before the job was certainly stored"
+            )
+        return shared_reply.reply
+
+    async def _complete_submission(
+        self, shared_reply: SharedReply, spec: JobSpec, entry: str
+    ) -> None:
         try:
-            acceptance.reply = await self._accept(spec, entry)
+            shared_reply.reply = await self._accept(spec, entry)
         except (StoreError, TenureLostError) as error:
-            # Its transaction may take effect late: from now on the job can't be refused.
-            self._uncertain.add(spec.job_id)
-            acceptance.error = StoreOutcomeUnknownError(error.message)
+            # The transaction may still take effect, so a later submission must not be refused.
+            self._possibly_stored.add(spec.job_id)
+            shared_reply.error = StoreOutcomeUnknownError(error.message)
         finally:
-            self._handing_in.pop(spec.job_id, None)
-            acceptance.ended.set()
+            self._pending_submissions.pop(spec.job_id, None)
+            shared_reply.answered.set()
 
     async def _accept(self, spec: JobSpec, entry: str) -> JobSubmissionReply:
         now_s = self._clock.now_s()
-        is_uncertain = spec.job_id in self._uncertain
-        admission = self._admit(spec, inf, is_uncertain)
+        may_be_stored = spec.job_id in self._possibly_stored
+        admission = self._admit(spec, inf, may_be_stored)
         if admission.refusal is not None:
             return admission.refusal
         stored = admission.stored
@@ -324,48 +350,63 @@
         except AlreadyThereError:
             return JobSubmissionReply()
         except StoreUnavailableError as error:
-            if is_uncertain:
+            if may_be_stored:
                 raise
             self._log.note_not_stored(spec, error.message)
             return JobSubmissionReply("the store is not available", SHORTEST_RETRY_AFTER_S)
-        self._uncertain.discard(spec.job_id)
+        self._possibly_stored.discard(spec.job_id)
         job = self.job_table.open(stored, now_s, entry=entry)
-        job.expected_s = admission.draft.expected_s
+        job.expected_s = admission.tentative_job.expected_s
         self.group.changed.set()
         return JobSubmissionReply()
 
-    def _admit(self, spec: JobSpec, deadline_s: float, must_take: bool) -> Admission:
-        """Judges a job by the load of the moment, unless it must be taken."""
+    def _admit(self, spec: JobSpec, deadline_s: float, must_accept: bool) -> Admission:
+        """Decides by the present load whether to accept a job.
+
+        :param deadline_s: monotonic time after which the caller no longer waits for the end.
+        :param must_accept: whether the job is accepted whatever the load.
+        """
         now_s = self._clock.now_s()
         stored = StoredJob(spec, time())
-        draft = JobTable().open(stored, now_s)
-        draft.expected_s, draft.deadline_s = self._expect(spec), deadline_s
-        retry_after_s = None if must_take else self._judge(draft, now_s)
+        tentative_job = JobTable().open(stored, now_s)
+        tentative_job.expected_s, tentative_job.deadline_s = (
+            self._expected_run_time_s(spec),
+            deadline_s,
+        )
+        retry_after_s = (
+            None if must_accept else self._retry_after_s_if_refused(tentative_job, now_s)
+        )
         if retry_after_s is None:
-            return Admission(stored, draft, None)
+            return Admission(stored, tentative_job, None)
         self._log.note_refused(spec, retry_after_s)
-        return Admission(stored, draft, JobSubmissionReply(TOO_LATE, retry_after_s))
+        return Admission(stored, tentative_job, JobSubmissionReply(TOO_LATE, retry_after_s))
 
-    def _judge(self, draft: Job, now_s: float) -> float | None:
+    def _retry_after_s_if_refused(self, tentative_job: Job, now_s: float) -> float | None:
+        """Returns after how many seconds to retry a refused job; ``None`` if it is accepted."""
         if len(self.job_table.jobs) >= MAX_OPEN_JOBS:
             return SHORTEST_RETRY_AFTER_S
-        if draft.spec.is_durable and now_s - self.tenure.confirmed_s > LONE_TENURE_S:
+        if tentative_job.spec.is_durable and now_s - self.tenure.confirmed_s > UNCONFIRMED_TENURE_S:
             return SHORTEST_RETRY_AFTER_S
         if not self.group.has_contacted_endpoints(now_s):
             return None
         return judge(
-            draft, self.job_table.jobs.values(), self.group.endpoints.values(), self._model, now_s
+            tentative_job,
+            self.job_table.jobs.values(),
+            self.group.endpoints.values(),
+            self._model,
+            now_s,
         )
 
     async def find_state(self, job_id: str) -> str:
         """Returns a job's state; empty if there is no such job.
 
-        :raises StoreError: if the store must be asked and does not answer.
+        :raises NotHolderError: if this daemon is not the holder, or has not loaded the open jobs.
+        :raises StoreError: if the state has to be read from the store and the read fails.
         """
-        while job_id in self._handing_in:
-            await self._handing_in[job_id].ended.wait()
+        while job_id in self._pending_submissions:
+            await self._pending_submissions[job_id].answered.wait()
         if self.tenure.is_over or not self.is_loaded:
-            raise NotHolderError("not the holder, or not yet")
+            raise NotHolderError("not the holder, or the open jobs are not loaded yet")
         state = self.job_table.state(job_id)
         if state is not None:
             return state.value
@@ -377,7 +418,9 @@
         return state.value
 
     async def cancel(self, job_id: str) -> str:
-        """Cancels a job; returns its state once that is stored, empty if there is no such job.
+        """Cancels a job and returns its final state once that is stored.
+
+        The state is empty if there is no such job.
 
         :raises BerylproxyError: if the cancellation may not be stored.
         """
@@ -391,15 +434,15 @@
             self._finish(job)
         await self._outcomes.wait(job_id)
         if self.tenure.is_over or job_id in self.job_table.jobs:
-            raise TenureLostError("not the holder any more")
+            raise TenureLostError("the tenure ended before the cancellation was certainly stored")
         return job.state.value
 
     def count_pending(self, queue: str) -> int:
-        """Counts a queue's jobs of which no task has begun."""
+        """Returns the number of a queue's open jobs of which no task has begun."""
         return self.job_table.count_pending(queue)
 
-    def _expect(self, spec: JobSpec) -> float:
-        """Expects the run time of a job's longest chain of steps."""
+    def _expected_run_time_s(self, spec: JobSpec) -> float:
+        """Returns the expected run time of a job's longest chain of steps."""
         ends: list[float] = []
         for step in spec.steps:
             begin_s = max((ends[number] for number in step.after if number < len(ends)), default=0)
@@ -408,7 +451,7 @@
             )
         return max(ends, default=0.0)
 
-    async def _keep_placing(self) -> None:
+    async def _place_tasks(self) -> None:
         while True:
             await self.group.changed.wait()
             self.group.changed = Event()
@@ -423,24 +466,28 @@
             )
 
     def _resolve_jobs(self) -> None:
-        """Lets tasks wait for a start once every endpoint that may run them was heard."""
+        """Makes unresolved tasks ready to start once no endpoint can be running them."""
         if not self._unresolved or not self.group.has_list:
             return
         now_s = self._clock.now_s()
         are_contacted = all(endpoint.is_contacted for endpoint in self.group.endpoints.values())
         listed = {instance.endpoint_id for instance in self.group.endpoints}
-        left = []
+        still_unresolved = []
         for unresolved in self._unresolved:
             age_s = now_s - unresolved.since_s
-            is_complete = covers_former(self._inherited, unresolved.former_fence, listed)
-            if not unresolved.job.is_final and not can_resolve(age_s, are_contacted, is_complete):
-                left.append(unresolved)
+            are_former_listed = are_former_endpoints_listed(
+                self._inherited, unresolved.former_fence, listed
+            )
+            if not unresolved.job.is_final and not can_resolve(
+                age_s, are_contacted, are_former_listed
+            ):
+                still_unresolved.append(unresolved)
             elif not unresolved.job.is_final:
                 self.job_table.resolve(unresolved.job)
-        self._unresolved = left
+        self._unresolved = still_unresolved
 
     def _finish(self, job: Job) -> None:
-        """Tells a job's outcome to who waits for it, or has it stored."""
+        """Handles a job's final state: answers the caller, or begins to store the outcome."""
         if not job.spec.is_durable:
             self._best_effort_jobs.finish(job)
             return
@@ -454,12 +501,12 @@
         self._outcomes.begin(job)
 
     def drop(self, job_id: str, reason: str) -> None:
-        """Gives a job up that isn't kept: nobody waits for it."""
+        """Drops a best-effort job whose caller no longer waits for it."""
         self._best_effort_jobs.drop(job_id, reason)
 
-    async def _tick(self) -> None:
+    async def _run_periodic_checks(self) -> None:
         while True:
-            await sleep(TICK_S)
+            await sleep(TICK_INTERVAL_S)
             now_s = self._clock.now_s()
             self._pauses.note_run()
             self._outcomes.store_old_progress(now_s)
@@ -476,7 +523,7 @@
             await sleep(HEARTBEAT_INTERVAL_S)
 
     def send_heartbeat(self) -> None:
-        """Tells all daemons that this one is the holder."""
+        """Announces to all daemons that this one is the holder."""
         endpoints = tuple(
             instance.endpoint_id for instance, e in self.group.endpoints.items() if e.present
         )
@@ -486,47 +533,53 @@
         for incarnation in self._context.members():
             self._context.notify(incarnation, heartbeat)
 
-    async def _watch_claim(self) -> None:
-        """Makes sure of the claim while nothing is written."""
+    async def _recheck_claim(self) -> None:
+        """Reads the claim while no write confirms it.
+
+        If the claim stays unconfirmed for too long, the durable jobs are suspended and the tenure
+        ends, as another daemon may have replaced the claim.
+        """
         while True:
-            await sleep(TENURE_CHECK_S / 2)
+            await sleep(CLAIM_CHECK_INTERVAL_S / 2)
             age_s = self._clock.now_s() - self.tenure.confirmed_s
-            if age_s < TENURE_CHECK_S:
+            if age_s < CLAIM_CHECK_INTERVAL_S:
                 continue
-            limit_s = LONE_TENURE_S if self._context.has_store_elsewhere() else OUTAGE_TENURE_S
+            limit_s = (
+                UNCONFIRMED_TENURE_S if self._context.may_others_reach_store() else OUTAGE_TENURE_S
+            )
             if age_s > limit_s:
-                self._suspend_kept(age_s)
+                self._suspend_durable_jobs(age_s)
             sent_s = self._clock.now_s()
             try:
                 entry = await self._store.get(claim_key(self.tenure.group))
             except StoreError as error:
-                logger.debug("the claim can't be checked: {}", error.message)
+                logger.debug("the claim cannot be checked: {}", error.message)
                 continue
             if entry is None or entry.revision != self.tenure.claim_revision:
-                self.tenure.end("the claim is another daemon's")
+                self.tenure.end("another daemon has the claim")
                 return
             self.tenure.confirm(sent_s)
 
     async def _store_model(self) -> None:
-        """Stores what has been learnt of run times, so that a successor need not begin anew."""
+        """Stores the learned run times regularly, so that a successor can start from them."""
         while True:
-            await sleep(MODEL_INTERVAL_S)
+            await sleep(MODEL_STORE_INTERVAL_S)
             written = ((model_key(self.tenure.group), encode_model(self._model)),)
             try:
                 await self._ledger.make(Change(written=written))
             except TenureLostError:
-                self.tenure.end("the claim is another daemon's")
+                self.tenure.end("another daemon has the claim")
             except StoreError as error:
-                logger.debug("learnt run times not stored: {}", error.message)
+                logger.debug("learned run times not stored: {}", error.message)
 
-    def _suspend_kept(self, age_s: float) -> None:
-        """Stops the kept jobs and ends the tenure: another holder may be carrying them out."""
-        kept = [
+    def _suspend_durable_jobs(self, age_s: float) -> None:
+        """Stops the durable jobs and ends the tenure, as another holder may be running the jobs."""
+        durable_jobs = [
             job for job in self.job_table.jobs.values() if job.spec.is_durable and not job.is_final
         ]
-        if not kept:
+        if not durable_jobs:
             return
-        for job in kept:
-            logger.info("job suspended", extra=self.tenure.extra(job=job.spec.job_id))
+        for job in durable_jobs:
+            logger.info("durable job suspended", extra=self.tenure.extra(job=job.spec.job_id))
             self.group.stop_active(job)
         self.tenure.end(f"the store has not confirmed the claim for {age_s:.1f} s")
--- a/berylproxy/durable/job_log.py
+++ b/berylproxy/durable/job_log.py
@@ -1,4 +1,4 @@
-"""The log lines and counts of what becomes of jobs, one line for each decision."""
+"""Log lines and metrics of the decisions on jobs, one line for each decision."""
 
 from dataclasses import dataclass
 
@@ -14,16 +14,16 @@
 
 @dataclass(frozen=True, slots=True)
 class JobLog:
-    """Tells of the jobs of one tenure."""
+    """Logs and counts the decisions on the jobs of one tenure."""
 
     tenure: Tenure
     job_table: JobTable
 
     def note_refused(self, spec: JobSpec, retry_after_s: float) -> None:
-        """A job is refused: more work than the endpoints can do in time."""
+        """Records that a job is refused, as the endpoints cannot complete it in time."""
         self.tenure.telemetry.count("jobs_refused", queue=spec.terms.queue, reason="late")
         logger.info(
-            "job refused: its answer would come too late",
+            "job refused: it cannot end in time under the present load",
             extra=self.tenure.extra(
                 job=spec.job_id,
                 queue=spec.terms.queue,
@@ -33,18 +33,22 @@
         )
 
     def note_not_stored(self, spec: JobSpec, reason: str) -> None:
-        """A job is refused: the store does not take it."""
+        """Records that a job is refused, as the store is unavailable."""
         self.tenure.telemetry.count("jobs_refused", queue=spec.terms.queue, reason="store")
-        logger.info("job refused: not stored: {}", reason, extra=self.tenure.extra(job=spec.job_id))
+        logger.info(
+            "job refused, as it could not be stored: {}",
+            reason,
+            extra=self.tenure.extra(job=spec.job_id),
+        )
 
-    def note_given_up(self, job: Job, waiting: int, now_s: float) -> None:
-        """A job that has begun is given up.
+    def note_abandoned(self, job: Job, waiting: int, now_s: float) -> None:
+        """Records that a job that has begun is abandoned, as it cannot end in time.
 
-        :param waiting: its tasks that had no room.
+        :param waiting: number of its tasks that were ready and had no endpoint with room.
         """
         self.tenure.telemetry.count("jobs_given_up", queue=job.spec.terms.queue)
         logger.info(
-            "job given up: it has begun and its answer would come too late",
+            "job abandoned: it has begun and cannot end in time",
             extra=self.tenure.extra(
                 job=job.spec.job_id,
                 queue=job.spec.terms.queue,
@@ -58,7 +62,7 @@
         )
 
     def note_dropped(self, job: Job, reason: str) -> None:
-        """A job is dropped, as nobody is taken to wait for it."""
+        """Records that a job is dropped, as its caller is presumed to have stopped waiting."""
         logger.info(
             "job dropped: {}",
             reason,
@@ -66,7 +70,7 @@
         )
 
     def note_ended(self, job: Job) -> None:
-        """A job's state is final."""
+        """Records that a job has reached a final state."""
         queue, took_s = job.spec.terms.queue, self.tenure.clock.now_s() - job.accepted_s
         is_late = took_s > objective_s(job)
         self.tenure.telemetry.count("jobs_ended", queue=queue, state=job.state.value)
@@ -88,7 +92,7 @@
                 expected_s=round(job.expected_s, 3),
                 late=is_late,
                 tasks=len(job.tasks),
-                runs=sum(task.orders for task in job.tasks.values()),
+                runs=sum(task.ordered_starts for task in job.tasks.values()),
                 first_start_s=round(min(starts_s), 3) if starts_s else None,
                 last_start_s=round(max(starts_s), 3) if starts_s else None,
             ),
--- a/berylproxy/durable/job_table.py
+++ b/berylproxy/durable/job_table.py
@@ -1,4 +1,4 @@
-"""The state of a group's jobs: what waits, runs, has ended. No clock, no sockets."""
+"""The states of a group's jobs and tasks, in memory; uses no clock and no sockets."""
 
 from collections import OrderedDict
 from collections.abc import Iterator
@@ -19,17 +19,17 @@
     TaskName,
 )
 
-REMEMBERED_FINAL_JOBS = 20_000  # answers of state without a read of the store
+REMEMBERED_FINAL_JOBS = 20_000  # their states are answered without a read of the store
 
 
 class TaskStatus(Enum):
-    """Where a task stands."""
+    """Status of a task within an open job."""
 
     BLOCKED = auto()  # earlier steps are not done
-    UNRESOLVED = auto()  # loaded from the store: an endpoint may run it or know its end
+    UNRESOLVED = auto()  # perhaps begun by a former holder: an endpoint may run it or know its end
     WAITING = auto()
-    STARTING = auto()  # the order is on its way
-    UNCERTAIN = auto()  # the order was not answered
+    STARTING = auto()  # the order to start is sent
+    UNCERTAIN = auto()  # the order to start was not answered: it may have taken effect
     RUNNING = auto()
     DONE = auto()
 
@@ -42,11 +42,14 @@
     """One task of an open job.
 
     :ivar run: number of the newest run; each start has a higher one.
-    :ivar life: where the newest run is, while it is active.
-    :ivar orders: how often its start was ordered by this holder.
-    :ivar failed_runs: runs that have ended as failed.
-    :ivar failed_at: identifiers of the endpoints where that was.
-    :ivar saved: what a run last saved.
+    :ivar instance: endpoint of the newest run, while that is active.
+    :ivar ordered_starts: how often this holder has ordered its start.
+    :ivar ordered_s: monotonic time of this holder's newest order; 0 if there is none.
+    :ivar started_s: monotonic time at which the newest run was ordered or first reported.
+    :ivar progressed_s: monotonic time at which the newest run last made progress.
+    :ivar failed_runs: numbers of the runs that have failed.
+    :ivar failed_endpoint_ids: identifiers of the endpoints where runs have failed.
+    :ivar saved: checkpoint that a run saved last.
     """
 
     name: TaskName
@@ -54,26 +57,27 @@
     status: TaskStatus
     run: int = 0
     instance: EndpointInstance | None = None
-    orders: int = 0
+    ordered_starts: int = 0
     ordered_s: float = 0.0
     started_s: float = 0.0
     progress_percent: int = 0
     progressed_s: float = 0.0
     failed_runs: set[int] = field(default_factory=set)
-    failed_at: set[str] = field(default_factory=set)
+    failed_endpoint_ids: set[str] = field(default_factory=set)
     saved: str = ""
 
 
 @dataclass(slots=True, eq=False)
 class Job:
-    """An open job: accepted, and its end is not stored.
+    """An open job: accepted, and closed once its outcome is answered or stored.
 
     :ivar accepted_s: monotonic time of its acceptance.
-    :ivar deadline_s: monotonic time at which its caller stops to wait; infinite if it doesn't.
-    :ivar entry: incarnation of the daemon that handed it in; empty after a change of holder.
+    :ivar deadline_s: monotonic time at which its caller stops waiting; infinite without a limit.
+    :ivar entry: incarnation of its entry daemon; empty after a change of holder.
     :ivar expected_s: expected run time of its longest chain of tasks at speed 1.
     :ivar waiting: its tasks that may be started now.
-    :ivar started: whether any task has ever been ordered.
+    :ivar unfinished_tasks: number of tasks that are not done.
+    :ivar started: whether the start of any task has ever been ordered.
     """
 
     spec: JobSpec
@@ -85,7 +89,7 @@
     state: JobState = JobState.QUEUED
     expected_s: float = 0.0
     waiting: list[Task] = field(default_factory=list)
-    left: int = 0
+    unfinished_tasks: int = 0
     started: bool = False
 
     @property
@@ -94,7 +98,10 @@
         return self.state in FINAL_STATES
 
     def progress(self) -> Progress:
-        """Describes what the store must know before endpoints may forget it."""
+        """Returns the done tasks and the failed runs.
+
+        They must be in the store before endpoints may forget them.
+        """
         return Progress(
             tuple(key for key, task in self.tasks.items() if task.status is TaskStatus.DONE),
             tuple((*key, run) for key, task in self.tasks.items() for run in task.failed_runs),
@@ -109,14 +116,15 @@
         self._outcomes: OrderedDict[str, JobState] = OrderedDict()
 
     def open(self, stored: StoredJob, now_s: float, *, entry: str = "", first_run: int = 0) -> Job:
-        """Takes in a job.
+        """Adds a job to the table.
 
+        :param entry: incarnation of its entry daemon.
         :param first_run: lower bound of the run numbers to use; above 0 for a job that another
             holder may have begun.
         """
         job = Job(stored.spec, stored.accepted_unix_s, now_s, entry=entry)
-        is_loaded = first_run > 0
-        status = TaskStatus.UNRESOLVED if is_loaded else TaskStatus.WAITING
+        may_have_begun = first_run > 0
+        status = TaskStatus.UNRESOLVED if may_have_begun else TaskStatus.WAITING
         for step_number, step in enumerate(stored.spec.steps):
             for index in range(step.count):
                 name = TaskName(stored.spec.job_id, step_number, index)
@@ -128,51 +136,53 @@
             task = job.tasks.get((step_number, index))
             if task is not None:
                 task.failed_runs.add(run)
-        job.left = sum(task.status is not TaskStatus.DONE for task in job.tasks.values())
-        job.started = is_loaded and bool(stored.progress.done or stored.progress.failures)
+        job.unfinished_tasks = sum(
+            task.status is not TaskStatus.DONE for task in job.tasks.values()
+        )
+        job.started = may_have_begun and bool(stored.progress.done or stored.progress.failures)
         self.jobs[stored.spec.job_id] = job
-        if not is_loaded:
-            self._release_steps(job)
+        if not may_have_begun:
+            self._update_waiting_tasks(job)
         return job
 
     def find_task(self, name: TaskName) -> Task | None:
-        """Finds a task of an open job whose outcome is still to come."""
+        """Returns a task of an open job; ``None`` if the job is unknown or its state is final."""
         job = self.jobs.get(name.job_id)
         if job is None or job.is_final:
             return None
         return job.tasks.get((name.step, name.index))
 
     def state(self, job_id: str) -> JobState | None:
-        """Returns a job's state; ``None`` if it isn't known here."""
+        """Returns a job's state; ``None`` if this table does not know the job."""
         job = self.jobs.get(job_id)
         return job.state if job is not None else self._outcomes.get(job_id)
 
     def remember_outcome(self, job_id: str, state: JobState) -> None:
-        """Keeps the outcome of a job that is not open."""
+        """Records the outcome of a job that is not open; the oldest outcomes are discarded."""
         self._outcomes[job_id] = state
         while len(self._outcomes) > REMEMBERED_FINAL_JOBS:
             self._outcomes.popitem(last=False)
 
     def close(self, job: Job) -> None:
-        """Ends the care for a job whose outcome is stored."""
+        """Removes a job from the open ones, and remembers its outcome."""
         self.jobs.pop(job.spec.job_id, None)
         self.remember_outcome(job.spec.job_id, job.state)
 
     def resolve(self, job: Job) -> None:
-        """Lets all tasks wait that no endpoint knows of."""
+        """Makes the unresolved tasks of a job, which no endpoint reports, ready to start."""
         for task in job.tasks.values():
             if task.status is TaskStatus.UNRESOLVED:
                 task.status = TaskStatus.WAITING
-        self._release_steps(job)
+        self._update_waiting_tasks(job)
 
     def note_ordered(self, task: Task, instance: EndpointInstance, now_s: float) -> None:
-        """Notes that a waiting task is being started under a new run number."""
+        """Records that the start of a waiting task is ordered under a new run number."""
         job = self.jobs[task.name.job_id]
         job.waiting.remove(task)
         job.started = True
         job.state = JobState.RUNNING
         task.run += 1
-        task.orders += 1
+        task.ordered_starts += 1
         task.status = TaskStatus.STARTING
         task.instance = instance
         task.ordered_s = task.started_s = now_s
@@ -180,7 +190,7 @@
         task.progressed_s = now_s
 
     def note_running(self, task: Task, instance: EndpointInstance, run: int, now_s: float) -> None:
-        """Notes that an endpoint runs the task."""
+        """Records that an endpoint runs the task."""
         if task.status is not TaskStatus.RUNNING or task.instance != instance:
             task.started_s = task.progressed_s = now_s
         job = self.jobs[task.name.job_id]
@@ -191,7 +201,7 @@
         task.status, task.instance, task.run = TaskStatus.RUNNING, instance, run
 
     def note_not_running(self, task: Task) -> None:
-        """Lets an active task wait again: its newest run is certainly over."""
+        """Returns an active task to the waiting ones: its newest run is certainly over."""
         task.instance = None
         task.status = TaskStatus.WAITING
         self.jobs[task.name.job_id].waiting.append(task)
@@ -214,7 +224,7 @@
             return
         if end.kind is EndKind.FAILED:
             task.failed_runs.add(end.run)
-            task.failed_at.add(instance.endpoint_id)
+            task.failed_endpoint_ids.add(instance.endpoint_id)
             if len(task.failed_runs) >= job.spec.terms.max_attempts:
                 job.state = JobState.FAILED
                 job.waiting.clear()
@@ -224,16 +234,16 @@
             self.note_not_running(task)
 
     def cancel(self, job: Job) -> None:
-        """Cancels a job, whose active tasks must be stopped then."""
+        """Marks a job as cancelled; the caller must stop its active tasks."""
         job.state = JobState.CANCELLED
         job.waiting.clear()
 
     def waiting_jobs(self) -> Iterator[Job]:
-        """Lists the jobs with tasks that may be started."""
+        """Returns the jobs with tasks that may be started."""
         return (job for job in self.jobs.values() if job.waiting)
 
     def count_pending(self, queue: str) -> int:
-        """Counts a queue's open jobs of which no task has begun."""
+        """Returns the number of a queue's open jobs of which no task has begun."""
         return sum(
             not job.started and not job.is_final and job.spec.terms.queue == queue
             for job in self.jobs.values()
@@ -245,23 +255,23 @@
         task.status = TaskStatus.DONE
         task.instance = None
         job.started = True
-        job.left -= 1
-        if not job.left:
+        job.unfinished_tasks -= 1
+        if not job.unfinished_tasks:
             job.state = JobState.COMPLETED
         else:
             job.state = JobState.RUNNING
-            self._release_steps(job)
+            self._update_waiting_tasks(job)
 
-    def _release_steps(self, job: Job) -> None:
-        """Sorts tasks into those that wait for room and those that wait for earlier steps."""
+    def _update_waiting_tasks(self, job: Job) -> None:
+        """Marks each task that is not started as waiting, or as blocked by earlier steps."""
         done_steps = {
             number
             for number, step in enumerate(job.spec.steps)
             if all(job.tasks[number, i].status is TaskStatus.DONE for i in range(step.count))
         }
         for (number, _), task in job.tasks.items():
-            is_free = done_steps.issuperset(job.spec.steps[number].after)
+            is_unblocked = done_steps.issuperset(job.spec.steps[number].after)
             if task.status in (TaskStatus.WAITING, TaskStatus.BLOCKED):
-                if is_free and task not in job.waiting:
+                if is_unblocked and task not in job.waiting:
                     job.waiting.append(task)
-                task.status = TaskStatus.WAITING if is_free else TaskStatus.BLOCKED
+                task.status = TaskStatus.WAITING if is_unblocked else TaskStatus.BLOCKED
--- a/berylproxy/durable/placement.py
+++ b/berylproxy/durable/placement.py
@@ -159,7 +159,7 @@
         run_time_s = expected_s / model.speed(info.instance.endpoint_id)
         if near.rack and near.rack != info.rack:
             run_time_s *= near.remote_factor
-        if info.instance.endpoint_id in task.failed_at:
+        if info.instance.endpoint_id in task.failed_endpoint_ids:
             run_time_s += FAILED_HERE_FACTOR * expected_s
         fastest_s = min(fastest_s, run_time_s)
         left = endpoint.free_millicores - step.needs.cpu_millicores
--- a/berylproxy/durable/telemetry.py
+++ b/berylproxy/durable/telemetry.py
@@ -25,9 +25,9 @@
 
 
 class Telemetry:
-    """What one daemon counts.
+    """The counters and histograms of one daemon.
 
-    :ivar metrics: where the series are scraped.
+    :ivar metrics: registry that the series are scraped from.
     """
 
     def __init__(self) -> None:
@@ -46,15 +46,15 @@
         self._counts[name, tuple(sorted(labels.items()))] += 1
 
     def observe_job(self, queue: str, took_s: float) -> None:
-        """Takes the time that a job took."""
+        """Adds the time from a job's acceptance to its end to the histogram."""
         self._job_seconds.observe({"queue": queue}, took_s)
 
     def observe_request(self, method: str, took_s: float) -> None:
-        """Takes the time that a caller's request took."""
+        """Adds the time of a caller's request to the histogram."""
         self._request_seconds.observe({"method": method}, took_s)
 
     def add_gauges(self, source: Callable[[], Iterable[tuple[str, str, float, str]]]) -> None:
-        """Takes a function that lists name, help, value and group of present states."""
+        """Registers a function that returns (name, help text, value, group) for each gauge."""
         self.metrics.add_source(
             lambda: [
                 Sample(PREFIX + name, text, value, {"group": group})
--- a/berylproxy/durable/tenure.py
+++ b/berylproxy/durable/tenure.py
@@ -1,4 +1,4 @@
-"""What the parts of a holder share while it holds a group."""
+"""State that the parts of a holder share during its tenure."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -17,10 +17,11 @@
 class Tenure:
     """One daemon's time as the holder of a group.
 
-    :param fence: under which endpoints take orders.
+    :param fence: fencing token of the orders to endpoints.
     :param claim_revision: revision of the claim; 0 for a provisional holder, which has none.
-    :ivar task_group: where the tenure's work runs; ``None`` before and after.
-    :ivar confirmed_s: monotonic time at which the claim was certainly in force.
+    :ivar task_group: runs the background work of the tenure; ``None`` before and after it.
+    :ivar began_s: monotonic time at which the tenure began.
+    :ivar confirmed_s: latest monotonic time at which the claim was certainly in force.
     """
 
     group: str
@@ -41,20 +42,20 @@
         return self.task_group is None
 
     def spawn(self, work: Callable[..., Any], *arguments: object) -> None:
-        """Begins some work that ends with the tenure, unless that is over."""
+        """Starts background work that the end of the tenure cancels; no effect if that is over."""
         if self.task_group is not None:
             self.task_group.start_soon(work, *arguments)
 
     def end(self, reason: str) -> None:
-        """Ends the tenure; nothing is ordered after that."""
+        """Ends the tenure and cancels its background work: endpoints get no more orders."""
         if self.task_group is not None:
-            logger.warning("tenure over {} ends: {}", self.group, reason, extra=self.extra())
+            logger.warning("tenure of group {} ends: {}", self.group, reason, extra=self.extra())
             self.task_group.cancel_scope.cancel()
 
     def confirm(self, at_s: float) -> None:
-        """Notes that the claim was in force at some time."""
+        """Records that the claim was in force at a monotonic time."""
         self.confirmed_s = max(self.confirmed_s, at_s)
 
     def extra(self, **fields: object) -> dict[str, object]:
-        """Makes the fields of a log line."""
+        """Returns the fields of a log line, with the group and the fence added."""
         return {"group": self.group, "fence": self.fence, **fields}
--- a/berylproxy/platform/endpoints.py
+++ b/berylproxy/platform/endpoints.py
@@ -134,7 +134,7 @@
         self._http.close_idle()
 
     def _end_of_lease_ms(self) -> int:
-        return self._clock.end_of_lease_ms(monotonic(), self._lease_s)
+        return self._clock.grant_lease_until_ms(monotonic(), self._lease_s)
 
     async def _post(self, target: str, body: dict[str, Any], timeout_s: float) -> HttpAnswer:
         answer = await self._http.call(
@@ -143,7 +143,7 @@
         if answer.status in (200, 409):
             clock_ms = _read_object(answer).get("clock-ms")
             if isinstance(clock_ms, int):
-                self._clock.read(clock_ms, answer.sent_s, answer.received_s)
+                self._clock.update(clock_ms, answer.sent_s, answer.received_s)
         return answer
 
     async def _call(self, target: str, body: dict[str, Any], timeout_s: float) -> HttpAnswer:
--- a/tests/durable/holder.feature
+++ b/tests/durable/holder.feature
@@ -1,17 +1,17 @@
-Feature: The holder carries out the jobs of its endpoint group
+Feature: The holder runs the jobs of its endpoint group
 
-  Scenario: a job is carried out and its caller hears its end
+  Scenario: a job is run and its caller receives the outcome
     Given a group of 3 endpoints whose runs take 0.05 s
     When a holder with fence 16 takes over
-    And job "a" of 4 tasks is handed in
+    And job "a" of 4 tasks is submitted
     Then job "a" ends as "completed"
     And each task of job "a" was done once
 
-  Scenario: a job whose tasks fail is failed after its last attempt
+  Scenario: a job fails after the last attempt of a failing task
     Given a group of 3 endpoints whose runs take 0.02 s
     And every run of job "a" fails
     When a holder with fence 16 takes over
-    And job "a" of 1 task is handed in
+    And job "a" of 1 task is submitted
     Then job "a" ends as "failed"
     And 3 runs of job "a" were started
 
@@ -19,7 +19,7 @@
     Given a group of 4 endpoints whose runs take 0.02 s
     And every order of job "a" is rejected
     When a holder with fence 16 takes over
-    And job "a" of 1 task is handed in
+    And job "a" of 1 task is submitted
     Then job "a" ends as "failed"
     And 0 runs of job "a" were started
     And no endpoint is closed
@@ -28,7 +28,7 @@
     Given a group of 1 endpoint whose runs take 0.3 s
     And the answers of the next 2 starts are lost
     When a holder with fence 16 takes over
-    And job "a" of 2 tasks is handed in
+    And job "a" of 2 tasks is submitted
     Then job "a" ends as "completed"
     And each task of job "a" was done once
     And 2 runs of job "a" were started
@@ -37,58 +37,58 @@
     Given a group of 1 endpoint whose runs take 0.3 s
     And the next 1 start is carried out 0.3 s late
     When a holder with fence 16 takes over
-    And job "a" of 1 task is handed in
+    And job "a" of 1 task is submitted
     Then job "a" ends as "completed"
     And no task of job "a" ran twice at the same time
 
-  Scenario: a new holder takes over the runs of a job that is handed in again
+  Scenario: a new holder takes over the runs of a job that is submitted again
     Given a group of 3 endpoints whose runs take 0.4 s
     When a holder with fence 16 takes over
-    And job "a" of 6 tasks is handed in
+    And job "a" of 6 tasks is submitted
     And a holder with fence 32 takes over after 0.15 s
-    And job "a" of 6 tasks is handed in again
+    And job "a" of 6 tasks is submitted again
     Then job "a" ends as "completed"
     And each task of job "a" was done once
     And 6 runs of job "a" were started
 
-  Scenario: a job that is handed in again waits for endpoints that still obey the former holder
+  Scenario: a job that is submitted again waits for endpoints that still obey the former holder
     Given a group of 2 endpoints whose runs take 0.9 s
     When a holder with fence 16 takes over
-    And job "a" of 2 tasks is handed in
+    And job "a" of 2 tasks is submitted
     And endpoint 2 is cut off from holders with fence 32
     And a holder with fence 32 takes over after 0.15 s
     And endpoint 1 loses its runs
-    And job "a" of 2 tasks is handed in again
+    And job "a" of 2 tasks is submitted again
     And endpoint 2 is reached by all holders after 0.5 s
     Then job "a" ends as "completed"
     And no task of job "a" ran twice at the same time
 
-  Scenario: jobs are handed in again long after the takeover, when endpoints come back
+  Scenario: jobs are submitted again long after the takeover, when endpoints are reachable again
     Given a group of 2 endpoints whose runs take 0.9 s
     And endpoint 2 is cut off from holders with fence 17
     When a holder with fence 17 takes over
-    And a holder with fence 16 runs beside it
+    And a holder with fence 16 runs at the same time
     And 3.2 s have passed
-    And job "a" of 2 tasks is handed in to the holder with fence 16
+    And job "a" of 2 tasks is submitted to the holder with fence 16
     And endpoint 2 is reached by all holders after 0.2 s
-    And job "a" of 2 tasks is handed in again
+    And job "a" of 2 tasks is submitted again
     Then job "a" ends as "completed"
     And no task of job "a" ran twice at the same time
 
-  Scenario: what a provisional holder began at endpoints that are not listed is waited for
+  Scenario: a new holder waits for tasks of a provisional holder at endpoints that are not listed
     Given a group of 2 endpoints whose runs take 0.9 s
     When a holder with fence 17 takes over
-    And job "a" of 2 tasks is handed in
+    And job "a" of 2 tasks is submitted
     And the holder with fence 17 ends, after which endpoint 1 is missing in the list
-    And a holder with fence 32 takes over that knows what the holder with fence 16 used: nothing
-    And job "a" of 2 tasks is handed in again after the holder with fence 17
+    And a holder with fence 32 takes over that knows of no endpoints used by the holder with fence 16
+    And job "a" of 2 tasks is submitted again after the holder with fence 17
     Then job "a" ends as "completed"
     And no task of job "a" ran twice at the same time
 
   Scenario: tasks of an endpoint that is cut off start elsewhere once its leases have lapsed
     Given a group of 2 endpoints whose runs take 0.9 s
     When a holder with fence 16 takes over
-    And job "a" of 4 tasks is handed in
+    And job "a" of 4 tasks is submitted
     And endpoint 1 is cut off from holders with fence 16
     Then job "a" ends as "completed" within 3.5 s
     And no task of job "a" ran twice at the same time
@@ -96,7 +96,7 @@
   Scenario: two holders that each reach a part of the endpoints run nothing twice
     Given a group of 2 endpoints whose runs take 2.5 s
     When a holder with fence 17 takes over
-    And job "a" of 4 tasks is handed in
+    And job "a" of 4 tasks is submitted
     And endpoint 2 is cut off from holders with fence 17
     And endpoint 1 is cut off from holders with fence 32
     And a holder with fence 32 takes over after 0.6 s
@@ -104,10 +104,10 @@
     Then no task of job "a" ran twice at the same time
     And job "a" ends as "completed" at the holder with fence 17
 
-  Scenario: a holder that is lost at once has extended no lease that another counts as lapsed
+  Scenario: a new holder that is cut off at once has extended no lease that the former one counts as lapsed
     Given a group of 2 endpoints whose runs take 2.5 s
     When a holder with fence 17 takes over
-    And job "a" of 4 tasks is handed in
+    And job "a" of 4 tasks is submitted
     And endpoint 1 is cut off from holders with fence 17
     And endpoint 2 is cut off from holders with fence 32
     And a holder with fence 32 takes over after 0.6 s
@@ -119,73 +119,73 @@
   Scenario: an endpoint that was cut off while it ran nothing gets tasks again
     Given a group of 1 endpoint whose runs take 0.3 s
     When a holder with fence 16 takes over
-    And job "a" of 1 task is handed in
+    And job "a" of 1 task is submitted
     And endpoint 1 is cut off from holders with fence 16
     And 1.6 s have passed
     And endpoint 1 is reached by all holders after 0.1 s
     And 0.3 s have passed
-    And job "b" of 1 task is handed in
+    And job "b" of 1 task is submitted
     Then job "b" ends as "completed"
 
-  Scenario: a caller that goes away takes its job along
+  Scenario: a job is stopped when its caller disconnects
     Given a group of 1 endpoint whose runs take 5 s
     When a holder with fence 16 takes over
-    And job "a" of 1 task is handed in
-    And the caller of job "a" goes away after 0.1 s
+    And job "a" of 1 task is submitted
+    And the caller of job "a" disconnects after 0.1 s
     Then nothing runs at any endpoint within 0.3 s
 
-  Scenario: a caller goes away just when its task is ordered
+  Scenario: a caller disconnects just when its task is ordered
     Given a group of 1 endpoint whose runs take 5 s
     When a holder with fence 16 takes over
-    And job "a" of 1 task is ordered and its caller goes away at that moment
+    And job "a" of 1 task is ordered and its caller disconnects at that moment
     Then nothing runs at any endpoint within 0.3 s
-    And the holder with fence 16 is at work
+    And the holder with fence 16 is still running
 
-  Scenario: a job that began and can't be of use any more is given up at once
+  Scenario: a job that has begun and can't end in time is abandoned at once
     Given a group of 1 endpoint whose runs take 1.5 s
     When a holder with fence 16 takes over
-    And urgent job "a" of 5 tasks is handed in
-    Then job "a" was given up within 1 s
+    And urgent job "a" of 5 tasks is submitted
+    Then job "a" was abandoned within 1 s
     And nothing runs at any endpoint within 0.3 s
 
-  Scenario: a long task at a slow endpoint is not taken for one that stands still
+  Scenario: a long task at a slow endpoint is not mistaken for a stalled one
     Given a group of 1 endpoint whose runs take 220 s
     When a holder with fence 16 takes over
-    And a kept job "a" of 1 task with an estimate of 120 s is handed in
+    And a durable job "a" of 1 task with an estimate of 120 s is submitted
     And 3 s have passed
     Then 1 runs of job "a" were started
 
-  Scenario: a late job whose tasks all run is left to end
+  Scenario: a late job whose tasks all run is not abandoned
     Given a group of 2 endpoints whose runs take 1.0 s
     When a holder with fence 16 takes over
-    And urgent job "a" of 5 tasks is handed in
+    And urgent job "a" of 5 tasks is submitted
     Then job "a" ends as "completed"
 
-  Scenario: an entry daemon that is heard again hands its dropped job in again
+  Scenario: an entry daemon that is reachable again resubmits its dropped job
     Given a group of 2 endpoints whose runs take 0.5 s
     When a holder with fence 16 takes over
-    And job "a" of 2 tasks is handed in
-    And the entry daemon is not heard any more
+    And job "a" of 2 tasks is submitted
+    And no more messages arrive from the entry daemon
     Then job "a" was interrupted
-    When the entry daemon is heard again
-    And job "a" of 2 tasks is handed in again
+    When messages arrive from the entry daemon again
+    And job "a" of 2 tasks is submitted again
     Then job "a" ends as "completed"
     And each task of job "a" was done once
     And no task of job "a" ran twice at the same time
 
-  Scenario: jobs whose entry daemon is silent are dropped
+  Scenario: jobs are dropped when no messages arrive from their entry daemon
     Given a group of 1 endpoint whose runs take 5 s
     When a holder with fence 16 takes over
-    And job "a" of 1 task is handed in
-    And the entry daemon is not heard any more
+    And job "a" of 1 task is submitted
+    And no more messages arrive from the entry daemon
     Then nothing runs at any endpoint within 0.3 s
 
-  Scenario: a kept job is stored before it starts, and its end as well
+  Scenario: a durable job is stored before it starts, and its outcome once it has ended
     Given a group of 2 endpoints whose runs take 0.05 s
     When a holder with fence 16 takes over
-    And kept job "k" of 3 tasks is handed in
-    Then kept job "k" is shown as "completed" within 1 s
-    And the store holds the end of job "k" and not the job
+    And durable job "k" of 3 tasks is submitted
+    Then durable job "k" is shown as "completed" within 1 s
+    And the store holds the outcome of job "k" and not the job
 
   Scenario: outcomes that nobody may ask for any more are removed from the store
     Given a group of 1 endpoint whose runs take 0.05 s
@@ -193,32 +193,32 @@
     When a holder with fence 16 takes over and sweeps at once
     Then the store holds the outcomes of jobs that ended 10 and 200 s ago
 
-  Scenario: a kept job goes on under a new holder, from what endpoints remember
+  Scenario: a durable job continues under a new holder, from the ends that endpoints remember
     Given a group of 2 endpoints whose runs take 0.3 s
     When a holder with fence 16 takes over
-    And kept job "k" of 6 tasks is handed in
+    And durable job "k" of 6 tasks is submitted
     And a holder with fence 32 takes over after 0.45 s
-    Then kept job "k" is shown as "completed" within 3 s
+    Then durable job "k" is shown as "completed" within 3 s
     And each task of job "k" was done once
 
-  Scenario: the answer to storing a job is lost, and it is asked for again
+  Scenario: the reply to the commit of a job is lost, and the commit is repeated
     Given a group of 1 endpoint whose runs take 0.05 s
     And the answer to the next commit is lost
     When a holder with fence 16 takes over
-    And kept job "k" of 1 task is handed in
-    Then kept job "k" is shown as "completed" within 1 s
+    And durable job "k" of 1 task is submitted
+    Then durable job "k" is shown as "completed" within 1 s
 
-  Scenario: a kept job is refused while the job store is out
+  Scenario: a durable job is refused while the job store is unavailable
     Given a group of 1 endpoint whose runs take 0.05 s
     When a holder with fence 16 takes over
-    And the job store is out
-    Then kept job "k" is refused
+    And the job store is unavailable
+    Then durable job "k" is refused
     And 0 runs of job "k" were started
 
-  Scenario: a cancelled kept job is stored as cancelled, and its runs are stopped
+  Scenario: a cancelled durable job is stored as cancelled, and its runs are stopped
     Given a group of 1 endpoint whose runs take 5 s
     When a holder with fence 16 takes over
-    And kept job "k" of 2 tasks is handed in
-    And kept job "k" is cancelled after 0.1 s
-    Then kept job "k" is shown as "cancelled" within 1 s
+    And durable job "k" of 2 tasks is submitted
+    And durable job "k" is cancelled after 0.1 s
+    Then durable job "k" is shown as "cancelled" within 1 s
     And nothing runs at any endpoint within 0.3 s
--- a/tests/steps/durable_decisions_steps.py
+++ b/tests/steps/durable_decisions_steps.py
@@ -234,7 +234,7 @@
 )
 def step_impl(context, shown, sent, received):
     context.lease_clock = LeaseClock()
-    context.lease_clock.read(int(shown), float(sent), float(received))
+    context.lease_clock.update(int(shown), float(sent), float(received))
 
 
 @when(
@@ -242,12 +242,12 @@
     r"(?P<received>[\d.]+) s"
 )
 def step_impl(context, shown, sent, received):
-    context.lease_clock.read(int(shown), float(sent), float(received))
+    context.lease_clock.update(int(shown), float(sent), float(received))
 
 
 @when(r"a lease of 1 s is sent at (?P<sent>[\d.]+) s")
 def step_impl(context, sent):
-    context.lease_end_ms = context.lease_clock.end_of_lease_ms(float(sent), 1.0)
+    context.lease_end_ms = context.lease_clock.grant_lease_until_ms(float(sent), 1.0)
 
 
 @then(r"it ends at (?P<end>\d+) ms on the endpoint's clock")
@@ -342,7 +342,7 @@
         open_job(job_table, f"first-{number}", age_s=0.1, **fields)
     job = open_job(job_table, "j")
     if failed_at:
-        job.tasks[0, 0].failed_at.add(failed_at)
+        job.tasks[0, 0].failed_endpoint_ids.add(failed_at)
     place_all(context, job_table)
 
 
--- a/tests/steps/durable_holder_steps.py
+++ b/tests/steps/durable_holder_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the holder, which runs in a thread with an event loop of its own."""
+"""Steps for the holder, which runs in an event loop in a thread of its own."""
 
 from time import monotonic, sleep, time
 from unittest.mock import patch
@@ -8,7 +8,7 @@
 
 from berylproxy.clock import MonotonicClock
 from berylproxy.durable import outcomes
-from berylproxy.durable.best_effort import JobGivenUpError, JobInterruptedError
+from berylproxy.durable.best_effort import JobAbandonedError, JobInterruptedError
 from berylproxy.durable.estimates import RunTimeModel
 from berylproxy.durable.fleet import EndpointList
 from berylproxy.durable.holder import Holder, HolderContext, InheritedEndpoints
@@ -38,7 +38,7 @@
 
 
 class HolderWorld:
-    """Holders over the same endpoints and store."""
+    """Holders of one group that share its endpoints and the store."""
 
     def __init__(self, count: int, run_time_s: float) -> None:
         self.endpoints = [make_endpoint(f"e{number + 1}") for number in range(count)]
@@ -47,17 +47,17 @@
         self.store = FakeJobStore()
         self.directory = FakeDirectory(self.endpoints)
         self.holders: dict[int, Holder] = {}
-        self.newest = 0
-        self.entry_is_alive = True
+        self.newest_fence = 0
+        self.is_entry_alive = True
         self.replies: dict[str, list] = {}
         self.endpoint_ids = frozenset(e.info.instance.endpoint_id for e in self.endpoints)
         self.portal_context = start_blocking_portal()
         self.portal = self.portal_context.__enter__()
 
     def take_over(self, fence: int, inherited: InheritedEndpoints | None = None) -> None:
-        """Starts a holder with a claim of its own.
+        """Starts a holder, under a claim of its own unless the fence is a provisional one.
 
-        :param inherited: what it knows of the former holder; by default the truth.
+        :param inherited: endpoints that it believes the former holder used; by default all of them.
         """
         revision = fence // FENCES_PER_REVISION + 10
         self.store.entries[claim_key(GROUP)] = Entry(claim_key(GROUP), b"", revision)
@@ -65,7 +65,7 @@
             GROUP,
             fence,
             revision if fence % FENCES_PER_REVISION == 0 else 0,
-            inherited or InheritedEndpoints(self.newest, self.endpoint_ids),
+            inherited or InheritedEndpoints(self.newest_fence, self.endpoint_ids),
             RunTimeModel(),
             HolderContext(
                 self.store,
@@ -77,11 +77,11 @@
                 lambda incarnation, message: None,
                 lambda: [],
                 lambda: True,
-                lambda incarnation: self.entry_is_alive,
+                lambda incarnation: self.is_entry_alive,
                 lambda: 2.0,
             ),
         )
-        self.newest = max(self.newest, fence)
+        self.newest_fence = max(self.newest_fence, fence)
         self.portal.start_task_soon(self.holders[fence].run)
         sleep(0.05)
 
@@ -97,23 +97,23 @@
         former_fence=0,
         estimate_s=0.1,
     ) -> None:
-        """Hands a job in without waiting for the answer."""
+        """Submits a job without waiting for the reply."""
         needs = Needs(TASK_CPU_MILLICORES)
         terms = QueueTerms("q", GROUP, max_attempts=MAX_ATTEMPTS, objective_s=objective_s)
         spec = JobSpec(name, terms, "", (StepSpec(tasks, needs, estimate_s),), is_kept)
-        holder = self.holders[fence or self.newest]
+        holder = self.holders[fence or self.newest_fence]
         message = JobSubmission(GROUP, spec, attempt, ANSWER_TIMEOUT_S, former_fence)
         future = self.portal.start_task_soon(holder.submit, message, ENTRY)
         self.replies.setdefault(name, []).append(future)
         sleep(0.02)
 
-    def runs(self, name: str, kind: str) -> list:
-        """Lists what happened to a job's tasks."""
+    def list_events(self, name: str, kind: str) -> list:
+        """Returns (time, task, run) of all events of a kind at the endpoints for a job's tasks."""
         return [
             (at_s, task, run)
             for endpoint in self.endpoints
-            for at_s, what, task, run in endpoint.history
-            if what == kind and task.job_id == name
+            for at_s, event, task, run in endpoint.history
+            if event == kind and task.job_id == name
         ]
 
     def close(self) -> None:
@@ -147,7 +147,7 @@
 @then(r"no endpoint is closed")
 def step_impl(context):
     world = context.holder_world
-    endpoints = world.holders[world.newest].group.endpoints.values()
+    endpoints = world.holders[world.newest_fence].group.endpoints.values()
     closed = [endpoint for endpoint in endpoints if endpoint.closed_until_s > monotonic()]
     assert not closed, closed
 
@@ -174,13 +174,13 @@
     context.holder_world.take_over(int(fence))
 
 
-@when(r"a holder with fence (?P<fence>\d+) runs beside it")
+@when(r"a holder with fence (?P<fence>\d+) runs at the same time")
 def step_impl(context, fence):
-    newest = context.holder_world.newest
+    newest_fence = context.holder_world.newest_fence
     for endpoint in context.holder_world.endpoints[:1]:
         endpoint.cut_fences.add(int(fence))
     context.holder_world.take_over(int(fence))
-    context.holder_world.newest = newest
+    context.holder_world.newest_fence = newest_fence
 
 
 @when(r"(?P<wait_s>[\d.]+) s have passed")
@@ -188,9 +188,9 @@
     sleep(float(wait_s))
 
 
-@when(r'(?P<kept>kept )?job "(?P<name>\w+)" of (?P<tasks>\d+) tasks? is handed in')
-def step_impl(context, kept, name, tasks):
-    context.holder_world.submit(name, int(tasks), is_kept=bool(kept))
+@when(r'(?P<durable>durable )?job "(?P<name>\w+)" of (?P<tasks>\d+) tasks? is submitted')
+def step_impl(context, durable, name, tasks):
+    context.holder_world.submit(name, int(tasks), is_kept=bool(durable))
 
 
 @when(r"the holder with fence (?P<fence>\d+) ends, after which endpoint 1 is missing in the list")
@@ -202,15 +202,15 @@
 
 
 @when(
-    r"a holder with fence 32 takes over that knows what the holder with fence (?P<known>\d+) used: "
-    r"nothing"
+    r"a holder with fence 32 takes over that knows of no endpoints used by the holder with fence "
+    r"(?P<known>\d+)"
 )
 def step_impl(context, known):
     context.holder_world.take_over(32, InheritedEndpoints(int(known), frozenset()))
 
 
 @when(
-    r'job "(?P<name>\w+)" of (?P<tasks>\d+) tasks? is handed in again'
+    r'job "(?P<name>\w+)" of (?P<tasks>\d+) tasks? is submitted again'
     r"(?: after the holder with fence (?P<former>\d+))?"
 )
 def step_impl(context, name, tasks, former=None):
@@ -221,7 +221,7 @@
 
 
 @when(
-    r'job "(?P<name>\w+)" of (?P<tasks>\d+) tasks? is handed in to the holder with fence '
+    r'job "(?P<name>\w+)" of (?P<tasks>\d+) tasks? is submitted to the holder with fence '
     r"(?P<fence>\d+)"
 )
 def step_impl(context, name, tasks, fence):
@@ -247,24 +247,24 @@
         endpoint.end(key, EndKind.STOPPED, monotonic())
 
 
-@when(r'the caller of job "(?P<name>\w+)" goes away after (?P<delay_s>[\d.]+) s')
+@when(r'the caller of job "(?P<name>\w+)" disconnects after (?P<delay_s>[\d.]+) s')
 def step_impl(context, name, delay_s):
     world = context.holder_world
     sleep(float(delay_s))
-    world.portal.call(world.holders[world.newest].drop, name, "its caller has gone")
+    world.portal.call(world.holders[world.newest_fence].drop, name, "its caller has disconnected")
 
 
-@when(r'job "(?P<name>\w+)" of 1 task is ordered and its caller goes away at that moment')
+@when(r'job "(?P<name>\w+)" of 1 task is ordered and its caller disconnects at that moment')
 def step_impl(context, name):
     world = context.holder_world
-    holder = world.holders[world.newest]
+    holder = world.holders[world.newest_fence]
 
     async def order_and_drop():
         terms = QueueTerms("q", GROUP, objective_s=ANSWER_TIMEOUT_S)
         spec = JobSpec(name, terms, "", (StepSpec(1, Needs(TASK_CPU_MILLICORES), 0.1),), False)
         job = holder.job_table.open(StoredJob(spec, 0.0), monotonic(), entry=ENTRY)
         holder.group.order(job.tasks[0, 0], next(iter(holder.group.endpoints.values())))
-        holder.drop(name, "its caller has gone")
+        holder.drop(name, "its caller has disconnected")
 
     world.portal.call(order_and_drop)
 
@@ -290,40 +290,40 @@
     assert left == {final_key(age) for age in ages.split(" and ")}, left
 
 
-@then(r"the holder with fence (?P<fence>\d+) is at work")
+@then(r"the holder with fence (?P<fence>\d+) is still running")
 def step_impl(context, fence):
     assert not context.holder_world.holders[int(fence)].tenure.is_over
 
 
-@when(r"the entry daemon is not heard any more")
+@when(r"no more messages arrive from the entry daemon")
 def step_impl(context):
     sleep(0.1)
-    context.holder_world.entry_is_alive = False
+    context.holder_world.is_entry_alive = False
 
 
 @when(
-    r'a kept job "(?P<name>\w+)" of (?P<tasks>\d+) task with an estimate of '
-    r"(?P<estimate_s>\d+) s is handed in"
+    r'a durable job "(?P<name>\w+)" of (?P<tasks>\d+) task with an estimate of '
+    r"(?P<estimate_s>\d+) s is submitted"
 )
 def step_impl(context, name, tasks, estimate_s):
     world = context.holder_world
     world.submit(name, int(tasks), is_kept=True, estimate_s=float(estimate_s))
 
 
-@when(r'urgent job "(?P<name>\w+)" of (?P<tasks>\d+) tasks is handed in')
+@when(r'urgent job "(?P<name>\w+)" of (?P<tasks>\d+) tasks is submitted')
 def step_impl(context, name, tasks):
     context.holder_world.submit(name, int(tasks), objective_s=URGENT_OBJECTIVE_S)
 
 
-@then(r'job "(?P<name>\w+)" was given up within (?P<wait_s>[\d.]+) s')
+@then(r'job "(?P<name>\w+)" was abandoned within (?P<wait_s>[\d.]+) s')
 def step_impl(context, name, wait_s):
     error = context.holder_world.replies[name][-1].exception(float(wait_s))
-    assert isinstance(error, JobGivenUpError), error
+    assert isinstance(error, JobAbandonedError), error
 
 
-@when(r"the entry daemon is heard again")
+@when(r"messages arrive from the entry daemon again")
 def step_impl(context):
-    context.holder_world.entry_is_alive = True
+    context.holder_world.is_entry_alive = True
 
 
 @then(r'job "(?P<name>\w+)" was interrupted')
@@ -332,16 +332,16 @@
     assert isinstance(error, JobInterruptedError), error
 
 
-@when(r"the job store is out")
+@when(r"the job store is unavailable")
 def step_impl(context):
     context.holder_world.store.is_out = True
 
 
-@when(r'kept job "(?P<name>\w+)" is cancelled after (?P<delay_s>[\d.]+) s')
+@when(r'durable job "(?P<name>\w+)" is cancelled after (?P<delay_s>[\d.]+) s')
 def step_impl(context, name, delay_s):
     world = context.holder_world
     sleep(float(delay_s))
-    state = world.portal.call(world.holders[world.newest].cancel, name)
+    state = world.portal.call(world.holders[world.newest_fence].cancel, name)
     assert state == "cancelled", state
 
 
@@ -360,13 +360,13 @@
 
 @then(r'each task of job "(?P<name>\w+)" was done once')
 def step_impl(context, name):
-    done = [task for _, task, _ in context.holder_world.runs(name, "done")]
+    done = [task for _, task, _ in context.holder_world.list_events(name, "done")]
     assert done and len(done) == len(set(done)), done
 
 
 @then(r'(?P<count>\d+) runs of job "(?P<name>\w+)" were started')
 def step_impl(context, count, name):
-    started = context.holder_world.runs(name, "start")
+    started = context.holder_world.list_events(name, "start")
     assert len(started) == int(count), started
 
 
@@ -374,7 +374,8 @@
 def step_impl(context, name):
     world = context.holder_world
     for endpoint in world.endpoints:
-        world.portal.call(endpoint.settle)  # one that nobody asks does not notice a lapse itself
+        # Without calls, an endpoint does not notice that its lease has lapsed.
+        world.portal.call(endpoint.settle)
     events = [event for endpoint in world.endpoints for event in endpoint.history]
     overlaps = find_overlaps(event for event in events if event[2].job_id == name)
     assert not overlaps, (overlaps, sorted(events))
@@ -387,25 +388,25 @@
     assert not any(running), running
 
 
-@then(r'kept job "(?P<name>\w+)" is shown as "(?P<state>\w+)" within (?P<wait_s>[\d.]+) s')
+@then(r'durable job "(?P<name>\w+)" is shown as "(?P<state>\w+)" within (?P<wait_s>[\d.]+) s')
 def step_impl(context, name, state, wait_s):
     world = context.holder_world
     until_s = monotonic() + float(wait_s)
     shown = ""
     while shown != state and monotonic() < until_s:
-        shown = world.portal.call(world.holders[world.newest].find_state, name)
+        shown = world.portal.call(world.holders[world.newest_fence].find_state, name)
         sleep(0.02)
     assert shown == state, shown
 
 
-@then(r'the store holds the end of job "(?P<name>\w+)" and not the job')
+@then(r'the store holds the outcome of job "(?P<name>\w+)" and not the job')
 def step_impl(context, name):
     sleep(0.1)
     entries = context.holder_world.store.entries
     assert final_key(name) in entries and open_key(GROUP, name) not in entries, list(entries)
 
 
-@then(r'kept job "(?P<name>\w+)" is refused')
+@then(r'durable job "(?P<name>\w+)" is refused')
 def step_impl(context, name):
     context.holder_world.submit(name, 1, is_kept=True)
     reply = context.holder_world.replies[name][-1].result(ANSWER_TIMEOUT_S)
