--- a/berylproxy/daemon/application.py
+++ b/berylproxy/daemon/application.py
@@ -23,7 +23,7 @@
 from berylproxy.daemon.http_server import describe_listener, open_listener, serve_http
 from berylproxy.daemon.leaving_hosts import LeavingHosts
 from berylproxy.daemon.monitoring import Monitor, make_metrics_route
-from berylproxy.deduplicate.claims import ClaimBook
+from berylproxy.deduplicate.claims import ClaimRegistry
 from berylproxy.deduplicate.identifiers import IdentifierMint
 from berylproxy.deduplicate.messages import JOB_MESSAGES, CancelJob, FetchJob, SubmitJob
 from berylproxy.deduplicate.registry import JobRegistry
@@ -106,7 +106,7 @@
             self._mint,
             self._registry,
             self._network,
-            ClaimBook(self._store, clock),
+            ClaimRegistry(self._store, clock),
             self._tracer,
             self._pipeline.admission.check,
             self._pipeline.submit,
@@ -190,7 +190,7 @@
             self._router,
             self._tracer,
             lambda: self._view.configuration,
-            lambda: self._view.is_loaded and self._pipeline.admission.takes_new_jobs,
+            lambda: self._view.is_loaded and self._pipeline.admission.accepts_new_jobs,
             IDENTIFIER_VALIDITY_S,
         )
         editor = RecordEditor(
@@ -249,7 +249,7 @@
     async def _keep_house(self) -> None:
         while True:
             await sleep(HOUSEKEEPING_INTERVAL_S)
-            self._registry.forget_old_jobs()
+            self._registry.evict_old_jobs()
             await self._sender.close_expired()
 
     async def _wait_for_stop(self) -> None:
@@ -261,7 +261,7 @@
         self._network.announce_leaving()
         self._update_members()
         await sleep(self._settings.drain_grace_s)
-        self._pipeline.admission.takes_new_jobs = False
+        self._pipeline.admission.accepts_new_jobs = False
         if not await self._pipeline.wait_until_idle(self._settings.drain_timeout_s):
             logger.warning("stopping with jobs unfinished after the drain timeout")
         self._http_stopped.set()
--- a/berylproxy/daemon/monitoring.py
+++ b/berylproxy/daemon/monitoring.py
@@ -103,7 +103,7 @@
         yield Sample(
             "berylproxy_running_tasks", "Tasks at endpoints", self._pipeline.running_tasks, {}
         )
-        yield Sample("berylproxy_jobs_kept", "Jobs in memory", self._pipeline.kept_jobs, {})
+        yield Sample("berylproxy_jobs_kept", "Jobs in memory", self._pipeline.retained_jobs, {})
         for kind, number in self._pipeline.count_wasted_messages().items():
             yield Sample(
                 "berylproxy_wasted_messages_total",
@@ -176,7 +176,7 @@
             "store_problem": self._watcher.problem,
             "waiting_tasks": self._pipeline.waiting_tasks,
             "running_tasks": self._pipeline.running_tasks,
-            "kept_jobs": self._pipeline.kept_jobs,
+            "kept_jobs": self._pipeline.retained_jobs,
         }
 
     def _describe_endpoints(self) -> Iterable[dict[str, object]]:
--- a/berylproxy/deduplicate/claims.py
+++ b/berylproxy/deduplicate/claims.py
@@ -25,7 +25,7 @@
     StoreUnavailableError,
 )
 
-BUCKETS = 32
+BUCKET_COUNT = 32
 COMMIT_INTERVAL_S = 0.1  # of one bucket
 CLAIM_RETENTION_S = 1_200.0  # longer than the longest job and the time to resubmit it
 CLAIM_TIMEOUT_S = 5.0
@@ -43,7 +43,7 @@
 
 def choose_bucket(key_hash: bytes) -> int:
     """Returns the number of the key's bucket."""
-    return int.from_bytes(key_hash[:2], "big") % BUCKETS
+    return int.from_bytes(key_hash[:2], "big") % BUCKET_COUNT
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,7 +71,7 @@
     claim: Claim | None = None
     error: StoreError | None = None
 
-    is_decided: bool = False
+    is_resolved: bool = False
 
 
 @dataclass(slots=True)
@@ -87,7 +87,7 @@
     next_commit_s: float = 0.0
 
 
-class ClaimBook:
+class ClaimRegistry:
     """Claims keys for identifiers and finds the earlier claim of a key.
 
     :param wall_time_s: seconds since 1970, which the daemons have in common.
@@ -97,7 +97,7 @@
         self._store = store
         self._clock = clock
         self._wall_time_s = wall_time_s
-        self._buckets = [Bucket(f"{KEY_PREFIX}{number:02d}") for number in range(BUCKETS)]
+        self._buckets = [Bucket(f"{KEY_PREFIX}{number:02d}") for number in range(BUCKET_COUNT)]
 
     async def claim(self, key_hash: bytes, job_id: str) -> str:
         """Claims a key; returns the identifier that it stands for, the given or an earlier one.
@@ -105,7 +105,7 @@
         :raises ClaimUnavailableError: if that can't be known now; nothing may be started then. The
             claim may have been written, so that a later call with the key finds the identifier.
         """
-        claim = await self._settle(PendingClaim(key_hash, job_id))
+        claim = await self._resolve(PendingClaim(key_hash, job_id))
         assert claim is not None, "a claim ends with a claim or an error"
         return claim.job_id
 
@@ -114,10 +114,10 @@
 
         :raises ClaimUnavailableError: if that can't be known now.
         """
-        claim = await self._settle(PendingClaim(key_hash, ""))
+        claim = await self._resolve(PendingClaim(key_hash, ""))
         return claim.job_id if claim is not None else ""
 
-    async def _settle(self, pending: PendingClaim) -> Claim | None:
+    async def _resolve(self, pending: PendingClaim) -> Claim | None:
         bucket = self._buckets[choose_bucket(pending.key_hash)]
         known = self._find(bucket, pending.key_hash)
         if known is not None:
@@ -125,7 +125,7 @@
         bucket.pending.append(pending)
         try:
             async with bucket.lock:
-                if not pending.is_decided:
+                if not pending.is_resolved:
                     await self._commit(bucket)
         finally:
             if pending in bucket.pending:
@@ -152,7 +152,7 @@
         for pending in batch:
             pending.claim = self._find(bucket, pending.key_hash) if error is None else None
             pending.error = error
-            pending.is_decided = True
+            pending.is_resolved = True
             bucket.pending.remove(pending)
         bucket.next_commit_s = self._clock.now_s() + COMMIT_INTERVAL_S
 
--- a/berylproxy/deduplicate/identifiers.py
+++ b/berylproxy/deduplicate/identifiers.py
@@ -76,15 +76,15 @@
 
     def was_minted(self, identifier: JobIdentifier, team: str) -> bool:
         """Tells whether the identifier was ever minted here for the team."""
-        is_counted = 1 <= identifier.sequence <= self._last_sequence
-        return is_counted and compare_digest(
-            identifier.proof, self._prove(identifier.sequence, team)
+        is_in_range = 1 <= identifier.sequence <= self._last_sequence
+        return is_in_range and compare_digest(
+            identifier.proof, self._compute_proof(identifier.sequence, team)
         )
 
     def _format(self, sequence: int, team: str) -> str:
-        return f"{self._incarnation}-{sequence}-{self._prove(sequence, team)}"
+        return f"{self._incarnation}-{sequence}-{self._compute_proof(sequence, team)}"
 
-    def _prove(self, sequence: int, team: str) -> str:
+    def _compute_proof(self, sequence: int, team: str) -> str:
         text = f"{sequence}\0{team}".encode()
         return blake2b(text, key=self._secret, digest_size=PROOF_BYTES).hexdigest()
 
--- a/berylproxy/deduplicate/registry.py
+++ b/berylproxy/deduplicate/registry.py
@@ -16,7 +16,7 @@
 from berylproxy.deduplicate.identifiers import IdentifierMint, parse_identifier
 from berylproxy.models import Submission
 
-MAX_KEPT_ANSWER_BYTES = 32 * 1024 * 1024
+MAX_RETAINED_ANSWER_BYTES = 32 * 1024 * 1024
 ANY_CONTENT = b""  # digest of a job that was cancelled before its content arrived
 
 
@@ -52,16 +52,16 @@
         mint: IdentifierMint,
         clock: Clock,
         retention_s: float,
-        max_kept_bytes: int = MAX_KEPT_ANSWER_BYTES,
+        max_retained_bytes: int = MAX_RETAINED_ANSWER_BYTES,
     ) -> None:
         self._mint = mint
         self._clock = clock
         self._retention_s = retention_s
         self._jobs: dict[str, RegisteredJob] = {}
-        self._max_kept_bytes = max_kept_bytes
-        self._kept_bytes = 0
+        self._max_kept_bytes = max_retained_bytes
+        self._retained_bytes = 0
         self.finished_jobs: Counter[str] = Counter()
-        self._forgotten: OrderedDict[str, float] = OrderedDict()  # job id -> finished at
+        self._evicted: OrderedDict[str, float] = OrderedDict()  # job id -> finished at
         self._finished: OrderedDict[str, float] = OrderedDict()  # job id -> finished at
 
     def __len__(self) -> int:
@@ -77,20 +77,20 @@
         :raises IdentifierMalformedError: if it was never minted here.
         """
         digest = digest_submission(submission)
-        known = self._jobs.get(submission.job_id)
-        if known is not None and known.job.submission.team == submission.team:
-            if known.digest not in (digest, ANY_CONTENT):
+        registered = self._jobs.get(submission.job_id)
+        if registered is not None and registered.job.submission.team == submission.team:
+            if registered.digest not in (digest, ANY_CONTENT):
                 raise IdentifierReusedError(
                     f"id {submission.job_id} stands for a submission with other content",
                     hint="take a new id for new content",
                 )
-            return known.job, False
+            return registered.job, False
         self._check_first_use(submission.job_id, submission.team)
         job = Job(submission, self._clock.now_s(), timeout_s)
         self._jobs[submission.job_id] = RegisteredJob(job, digest)
         return job, True
 
-    def cancel_unseen(self, job_id: str, team: str) -> Job | None:
+    def cancel_before_submission(self, job_id: str, team: str) -> Job | None:
         """Uses an identifier up before its submission has arrived, which then won't run.
 
         Returns ``None`` if a submission has arrived.
@@ -114,9 +114,9 @@
         :raises IdentifierExpiredError: if it may have run and been forgotten.
         :raises JobNotFoundError: if no submission has arrived under it.
         """
-        known = self._jobs.get(job_id)
-        if known is not None and known.job.submission.team == team:
-            return known.job
+        registered = self._jobs.get(job_id)
+        if registered is not None and registered.job.submission.team == team:
+            return registered.job
         self._check_first_use(job_id, team)
         raise JobNotFoundError(f"no job {job_id}", hint="submit it under this id")
 
@@ -124,32 +124,38 @@
         """Starts the time for which the answer is kept."""
         job.drop_tasks()
         self._finished[job.job_id] = job.finished_s
-        self._kept_bytes += job.answer_bytes
+        self._retained_bytes += job.answer_bytes
         self.finished_jobs[job.answer.outcome.value] += 1
 
-    def forget_old_jobs(self) -> None:
+    def evict_old_jobs(self) -> None:
         """Evicts answers kept for the retention time, and the oldest ones beyond the bound."""
-        oldest_kept_s = self._clock.now_s() - self._retention_s
+        oldest_retained_s = self._clock.now_s() - self._retention_s
         oldest_usable_s = self._clock.now_s() - self._mint.valid_for_s
         while self._finished:
             job_id, finished_s = next(iter(self._finished.items()))
-            is_over_bound = self._kept_bytes > self._max_kept_bytes
-            if finished_s >= oldest_kept_s and not is_over_bound:
+            is_over_bound = self._retained_bytes > self._max_kept_bytes
+            if finished_s >= oldest_retained_s and not is_over_bound:
                 break
             del self._finished[job_id]
-            self._kept_bytes -= self._jobs.pop(job_id).job.answer_bytes
-            self._forgotten[job_id] = finished_s
+            self._retained_bytes -= self._jobs.pop(job_id).job.answer_bytes
+            self._evicted[job_id] = finished_s
         # An identifier that can still be used first must not be taken for a new one.
-        while self._forgotten and next(iter(self._forgotten.values())) < oldest_usable_s:
-            self._forgotten.popitem(last=False)
+        while self._evicted and next(iter(self._evicted.values())) < oldest_usable_s:
+            self._evicted.popitem(last=False)
 
     def list_undelivered(self) -> list[Job]:
         """Lists the jobs whose answer nobody has fetched yet."""
-        return [known.job for known in self._jobs.values() if not known.job.delivered.is_set()]
+        return [
+            registered.job
+            for registered in self._jobs.values()
+            if not registered.job.delivered.is_set()
+        ]
 
     def list_unfinished(self) -> list[Job]:
         """Lists the jobs that have no answer yet."""
-        return [known.job for known in self._jobs.values() if not known.job.is_finished]
+        return [
+            registered.job for registered in self._jobs.values() if not registered.job.is_finished
+        ]
 
     def _check_first_use(self, job_id: str, team: str) -> None:
         identifier = parse_identifier(job_id)
@@ -158,7 +164,7 @@
                 f"id {job_id} was not minted here for this team",
                 hint="take ids from POST /v1/job-ids",
             )
-        if job_id in self._forgotten:
+        if job_id in self._evicted:
             raise AnswerEvictedError(f"job {job_id} has ended, its answer is not kept any more")
         if not self._mint.is_usable(identifier.sequence):
             raise IdentifierExpiredError(
--- a/berylproxy/deduplicate/router.py
+++ b/berylproxy/deduplicate/router.py
@@ -9,7 +9,7 @@
 
 from berylproxy.clock import Clock
 from berylproxy.collect.job import Job
-from berylproxy.deduplicate.claims import ClaimBook, choose_bucket, hash_key
+from berylproxy.deduplicate.claims import ClaimRegistry, choose_bucket, hash_key
 from berylproxy.deduplicate.errors import (
     DeduplicateError,
     HomeGoneError,
@@ -73,7 +73,7 @@
         mint: IdentifierMint,
         registry: JobRegistry,
         network: PeerNetwork,
-        claims: ClaimBook,
+        claims: ClaimRegistry,
         tracer: Tracer,
         check_admission: Callable[[Submission], None],
         submit: Callable[[Submission], Job],
@@ -133,7 +133,7 @@
             case FetchJob(job_id, team, wait_s):
                 return await self._wait(self._registry.find(job_id, team), wait_s)
             case CancelJob(job_id, team):
-                job = self._registry.cancel_unseen(job_id, team)
+                job = self._registry.cancel_before_submission(job_id, team)
                 if job is None:
                     job = self._registry.find(job_id, team)
                     self._cancel(job)
@@ -147,7 +147,7 @@
         message = SubmitJob(submission, wait_s)
         if claimant != self._incarnation:
             try:
-                return await self._ask(claimant, message, wait_s + HOME_REPLY_MARGIN_S)
+                return await self._request(claimant, message, wait_s + HOME_REPLY_MARGIN_S)
             except PeerError:
                 pass  # the claim in the store keeps two daemons from starting it both
         return await self.handle(message)
@@ -192,12 +192,12 @@
                     retry_after_s=UNREACHABLE_RETRY_AFTER_S,
                 )
             try:
-                return await self._ask(home, message, remaining_s)
+                return await self._request(home, message, remaining_s)
             except PeerError:
                 # The stream may come back, and the home finds the job by its identifier.
                 await sleep(HOME_RETRY_INTERVAL_S)
 
-    async def _ask(self, incarnation: str, message: Message, timeout_s: float) -> JobState:
+    async def _request(self, incarnation: str, message: Message, timeout_s: float) -> JobState:
         if not isinstance(message, SubmitJob):
             return await self._network.request(incarnation, message, timeout_s)
         submission = message.submission
--- a/berylproxy/pipeline.py
+++ b/berylproxy/pipeline.py
@@ -32,7 +32,7 @@
 
 TICK_INTERVAL_S = 0.05
 MAX_FLUSH_ROUNDS = 8
-UNDELIVERED_LINGER_S = 10.0
+UNDELIVERED_TIMEOUT_S = 10.0
 
 
 class Pipeline:
@@ -89,7 +89,7 @@
         return len(self._queue)
 
     @property
-    def kept_jobs(self) -> int:
+    def retained_jobs(self) -> int:
         """How many jobs are in memory, finished ones included."""
         return len(self._registry)
 
@@ -201,7 +201,7 @@
         with move_on_after(timeout_s):
             while jobs := self._registry.list_unfinished():
                 await jobs[0].finished.wait()
-            with move_on_after(UNDELIVERED_LINGER_S):
+            with move_on_after(UNDELIVERED_TIMEOUT_S):
                 while jobs := self._registry.list_undelivered():
                     await jobs[0].delivered.wait()
             return True
--- a/berylproxy/place/__init__.py
+++ b/berylproxy/place/__init__.py
@@ -1,1 +1,1 @@
-"""Grants the slots of endpoints to waiting tasks."""
+"""Placement: grants the slots of endpoints to waiting tasks."""
--- a/berylproxy/place/assignment.py
+++ b/berylproxy/place/assignment.py
@@ -1,4 +1,4 @@
-"""Which daemon holds the slots of which endpoints."""
+"""Assigns each group of endpoints to the daemon that grants its slots."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -10,14 +10,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SlotGroup:
-    """The endpoints of one pool in one failure domain, whose slots have one holder."""
+    """The endpoints of one pool in one failure domain; a single holder grants all their slots."""
 
     pool: str
     failure_domain: str
 
 
 def list_slot_groups(configuration: Configuration) -> set[SlotGroup]:
-    """Lists the groups that have endpoints."""
+    """Returns the groups that have at least one endpoint."""
     return {
         SlotGroup(endpoint.pool, endpoint.failure_domain)
         for endpoint in configuration.endpoints.values()
@@ -25,10 +25,12 @@
 
 
 def choose_holder(group: SlotGroup, daemons: Iterable[DaemonIdentity]) -> DaemonIdentity | None:
-    """Chooses the holder among the live daemons by rendezvous hashing.
+    """Chooses a group's holder among the live daemons by rendezvous hashing.
 
-    Daemons of the group's own failure domain go first. A daemon that ends or comes back moves only
-    the groups that it held.
+    Daemons in the group's own failure domain are preferred. When a daemon stops or returns, only
+    the groups that it holds move.
+
+    :returns: the holder; ``None`` if ``daemons`` is empty.
     """
     candidates = list(daemons)
     local = [daemon for daemon in candidates if daemon.failure_domain == group.failure_domain]
--- a/berylproxy/place/demands.py
+++ b/berylproxy/place/demands.py
@@ -1,4 +1,4 @@
-"""What the homes ask a holder for."""
+"""Counts the waiting tasks for which homes have requested slots from a holder."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -8,63 +8,65 @@
 from berylproxy.place.messages import DemandEntry
 from berylproxy.place.schedule import HomeDemand
 
-GRANT_TRANSIT_S = 3.0  # a grant that its home has not seen by then is lost
+GRANT_TRANSIT_S = 3.0  # a grant that its home has not acknowledged by then counts as lost
 
 
 @dataclass(frozen=True, slots=True)
-class UnseenGrant:
-    """A grant that its home has not counted yet."""
+class UnacknowledgedGrant:
+    """A grant that is not reflected in its home's counts yet."""
 
     key: DemandKey
-    since_s: float
+    granted_s: float
 
 
 class DemandTable:
-    """Waiting tasks by key and home, as absolute counts told by the homes.
+    """Waiting tasks by key and home, as absolute counts that the homes report.
 
-    A home counts again with each message. Grants that were on their way to it then are taken off
-    its count, so that no task is granted a slot twice.
+    Each message of a home replaces its earlier counts. Grants that were in transit when the home
+    counted are subtracted, so that no task is granted a slot twice.
 
-    :ivar by_key: the demand of each home by key; no key without a home.
+    :ivar by_key: the demand of each home by key; every key has at least one home.
     """
 
     def __init__(self) -> None:
         self.by_key: dict[DemandKey, dict[str, HomeDemand]] = {}
-        self._unseen_grants: dict[str, dict[int, UnseenGrant]] = {}  # by home and number
+        self._unacknowledged_grants: dict[str, dict[int, UnacknowledgedGrant]] = (
+            {}
+        )  # by home and number
 
     def replace(
         self, home: str, entries: Iterable[DemandEntry], last_grant: int, now_s: float
     ) -> None:
-        """Takes a home's counts in place of its earlier ones.
+        """Replaces a home's counts by newer ones.
 
-        :param last_grant: the last grant that the home had seen when it counted.
+        :param last_grant: number of the last grant that the home had received when it counted.
         """
-        unseen = self._count_unseen_grants(home, last_grant, now_s)
+        unacknowledged = self._count_unacknowledged_grants(home, last_grant, now_s)
         self._drop(home)
         for entry in entries:
             key = DemandKey(entry.service, entry.team, entry.needs)
-            waiting = entry.waiting - unseen[key]
+            waiting = entry.waiting - unacknowledged[key]
             if waiting > 0:
                 demand = HomeDemand(waiting, now_s - entry.oldest_age_s)
                 self.by_key.setdefault(key, {})[home] = demand
 
     def forget(self, home: str) -> None:
-        """Drops all that is known of a home."""
+        """Drops a home's demand and its unacknowledged grants."""
         self._drop(home)
-        self._unseen_grants.pop(home, None)
+        self._unacknowledged_grants.pop(home, None)
 
     def note_grant(self, home: str, key: DemandKey, number: int, now_s: float) -> None:
-        """Takes one waiting task off, for which a grant goes out."""
+        """Removes one waiting task, for which a grant is sent to its home."""
         homes = self.by_key[key]
         homes[home].waiting -= 1
         if not homes[home].waiting:
             del homes[home]
         if not homes:
             del self.by_key[key]
-        self._unseen_grants.setdefault(home, {})[number] = UnseenGrant(key, now_s)
+        self._unacknowledged_grants.setdefault(home, {})[number] = UnacknowledgedGrant(key, now_s)
 
     def count_waiting(self) -> int:
-        """Counts all waiting tasks."""
+        """Returns the number of waiting tasks of all homes."""
         return sum(demand.waiting for homes in self.by_key.values() for demand in homes.values())
 
     def _drop(self, home: str) -> None:
@@ -72,11 +74,13 @@
             homes.pop(home, None)
         self.by_key = {key: homes for key, homes in self.by_key.items() if homes}
 
-    def _count_unseen_grants(self, home: str, last_grant: int, now_s: float) -> Counter[DemandKey]:
+    def _count_unacknowledged_grants(
+        self, home: str, last_grant: int, now_s: float
+    ) -> Counter[DemandKey]:
         remaining = {
             number: grant
-            for number, grant in self._unseen_grants.get(home, {}).items()
-            if number > last_grant and now_s < grant.since_s + GRANT_TRANSIT_S
+            for number, grant in self._unacknowledged_grants.get(home, {}).items()
+            if number > last_grant and now_s < grant.granted_s + GRANT_TRANSIT_S
         }
-        self._unseen_grants[home] = remaining
+        self._unacknowledged_grants[home] = remaining
         return Counter(grant.key for grant in remaining.values())
--- a/berylproxy/place/endpoint_state.py
+++ b/berylproxy/place/endpoint_state.py
@@ -1,4 +1,4 @@
-"""One endpoint as its holder sees it: slots in use, health, and the room that it has shown."""
+"""State of one endpoint at its holder: slots in use, health and observed capacity."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -8,16 +8,16 @@
 from berylproxy.place.schedule import EndpointForecast
 from berylproxy.records.models import Endpoint
 
-LOST_SLOT_RUN_TIMES = 4  # a dead home's slot is kept for that many expected run times
+LOST_SLOT_RUN_TIMES = 4  # a dead home's slot stays in use for this many expected run times
 LOST_SLOT_MARGIN_S = 1.0
 SHORTEST_LOST_RUN_TIME_S = 0.3
-OVERRUN_SHARE = 0.3  # a task that overran its expected time is taken to need that share more
-FULL_PAUSE_S = 0.05  # no grants to an endpoint that has just refused a task as full
-LIMIT_GROWTH = 0.1  # by which a lowered limit grows while as many tasks finish as it allows
+OVERRUN_SHARE = 0.3  # expected remaining time of an overdue task, as a share of its time so far
+FULL_PAUSE_S = 0.05  # no grants for this long after an endpoint has refused a task as full
+LIMIT_GROWTH = 0.1  # growth of a lowered limit while as many tasks finish as the limit allows
 
 
 class SlotResult(StrEnum):
-    """How the use of a slot ended."""
+    """Result of the use of a slot."""
 
     DONE = "done"
     FAILED = "failed"
@@ -29,14 +29,14 @@
     UNUSED = "unused"
 
 
-# After these the endpoint may go on running the task.
+# The endpoint may still be running the task after these results.
 STILL_BUSY_RESULTS = (SlotResult.NO_ANSWER, SlotResult.ABANDONED)
 UNHEALTHY_RESULTS = (SlotResult.FAILED, SlotResult.NO_ANSWER, SlotResult.UNREACHABLE)
 
 
 @dataclass(frozen=True, slots=True)
 class SlotKey:
-    """Names one use of a slot over changes of the holder."""
+    """Identifies one use of a slot, also after the group's holder has changed."""
 
     issuer: str
     sequence: int
@@ -46,26 +46,30 @@
 class SlotUse:
     """A slot in use.
 
-    :param free_at_s: when it is expected to be free again.
-    :param lost_until_s: when it is given up, if its home has died; 0 while the home lives.
+    :param free_at_s: expected time at which the slot becomes free.
+    :param lost_until_s: time at which the slot is reclaimed after its home has died or has stopped
+        waiting for the task; 0 otherwise.
     """
 
     home: str
     team: str
-    since_s: float
+    start_s: float
     free_at_s: float
     lost_until_s: float = 0.0
 
     def predict_end_s(self, now_s: float) -> float:
-        """Predicts when it ends, also for a task that takes longer than expected."""
+        """Predicts the end of the use, also for a task that runs longer than expected."""
         if self.free_at_s > now_s:
             return self.free_at_s
-        return now_s + OVERRUN_SHARE * (now_s - self.since_s)
+        return now_s + OVERRUN_SHARE * (now_s - self.start_s)
 
     def mark_lost(self, now_s: float) -> None:
-        """Its home has died: the task may still run for a while."""
+        """Schedules the slot to be reclaimed after the death of its home.
+
+        The task may still run for a while, so the slot is not free at once.
+        """
         if not self.lost_until_s:
-            expected_s = max(self.free_at_s - self.since_s, SHORTEST_LOST_RUN_TIME_S)
+            expected_s = max(self.free_at_s - self.start_s, SHORTEST_LOST_RUN_TIME_S)
             self.lost_until_s = now_s + LOST_SLOT_RUN_TIMES * expected_s + LOST_SLOT_MARGIN_S
 
 
@@ -73,8 +77,9 @@
 class EndpointState:
     """An endpoint with its slots in use and its health.
 
-    :param limit: slots that it has shown to have, where that is fewer than its record says.
-    :param full_until_s: no grants before that time.
+    :param limit: observed number of slots, where the endpoint has refused a task as full although
+        its record says that it has more.
+    :param full_until_s: time before which no slot is granted.
     """
 
     endpoint: Endpoint
@@ -84,8 +89,8 @@
     full_until_s: float = 0.0
 
     def count_free(self, now_s: float) -> int:
-        """Counts the slots that may be granted now."""
-        if self.endpoint.leaving or not self.health.may_take(now_s, len(self.uses)):
+        """Returns the number of slots that may be granted now."""
+        if self.endpoint.leaving or not self.health.may_receive_task(now_s, len(self.uses)):
             return 0
         if now_s < self.full_until_s:
             return 0
@@ -93,7 +98,7 @@
         return min(free, 1) if self.health.on_probation else free
 
     def note_result(self, result: SlotResult, now_s: float) -> None:
-        """Learns from how the use of a slot ended."""
+        """Updates health and limit by the result of the use of a slot."""
         if result is SlotResult.DONE:
             self.health.note_success()
             self._raise_limit()
@@ -105,21 +110,21 @@
             self.health.note_failure(now_s)
 
     def is_usable(self, now_s: float) -> bool:
-        """Tells whether it may get tasks as soon as it has a free slot."""
+        """Returns whether the endpoint may be sent tasks as soon as it has a free slot."""
         return not self.endpoint.leaving and now_s >= self.health.ejected_until_s
 
     def forecast(self, now_s: float) -> EndpointForecast:
-        """Predicts when its slots will be free."""
+        """Predicts when the endpoint's slots will be free."""
         free_at_s = sorted(use.predict_end_s(now_s) for use in self.uses.values())
         return EndpointForecast(self.count_free(now_s), free_at_s)
 
-    def can_ever_take(self, needs: Iterable[tuple[str, int]]) -> bool:
-        """Tells whether a task with these needs fits the endpoint."""
+    def can_ever_run(self, needs: Iterable[tuple[str, int]]) -> bool:
+        """Returns whether the endpoint has the resources that a task needs."""
         resources = self.endpoint.resources
         return all(amount <= resources.get(name, 0) for name, amount in needs)
 
     def _lower_limit(self, now_s: float) -> None:
-        # The slots that are still in use are all that it has shown to have.
+        # The endpoint refused one more task, so the slots still in use are its observed capacity.
         self.limit = max(1.0, len(self.uses))
         self.full_until_s = now_s + FULL_PAUSE_S
 
--- a/berylproxy/place/holder.py
+++ b/berylproxy/place/holder.py
@@ -1,4 +1,4 @@
-"""Keeps the ledgers of the slot groups that this daemon holds."""
+"""Grants the slots of the groups that this daemon holds, one ledger for each group."""
 
 from collections.abc import Callable, Iterable
 from itertools import count
@@ -11,31 +11,37 @@
 from berylproxy.place.messages import GrantSlots, HolderSummary, ReleaseSlots, UpdateDemand
 from berylproxy.records.models import Configuration
 
-SETTLING_S = 1.0  # a new holder waits that long for the reports of homes that live
+SETTLE_TIMEOUT_S = 1.0  # a new holder waits this long for the reports of live homes
 SUMMARY_INTERVAL_S = 0.05
-STALL_S = 0.9  # below the interval at which homes repeat demand that waits
+STALL_TIMEOUT_S = 0.9  # shorter than the interval at which homes repeat their demand
 
 
 class HeldGroup:
-    """A ledger and who has still to report before its first grant."""
+    """A group's ledger and the state of the communication with its homes.
 
-    def __init__(self, ledger: SlotLedger, unreported: set[str], settled_by_s: float) -> None:
+    :param unreported_homes: homes that have not reported their slots in use yet.
+    :param settle_deadline_s: time from which slots are granted although homes have not reported.
+    """
+
+    def __init__(
+        self, ledger: SlotLedger, unreported_homes: set[str], settle_deadline_s: float
+    ) -> None:
         self.ledger = ledger
-        self.unreported = unreported
-        self.settled_by_s = settled_by_s
+        self.unreported_homes = unreported_homes
+        self.settle_deadline_s = settle_deadline_s
         self.last_summary: HolderSummary | None = None
         self.last_summary_s = 0.0
-        self.idle_homes: set[str] = set()  # have reported and wait for nothing here
-        self.stalled_homes: set[str] = set()  # wait here and have heard nothing for a while
-        self.told_s: dict[str, float] = {}
+        self.idle_homes: set[str] = set()  # have reported, without tasks waiting here
+        self.stalled_homes: set[str] = set()  # have tasks waiting here, were sent nothing lately
+        self.last_message_s: dict[str, float] = {}  # time of the last message sent, by home
 
     def is_settled(self, now_s: float) -> bool:
-        """Tells whether all live homes have told what they use, or had the time to."""
-        return not self.unreported or now_s >= self.settled_by_s
+        """Returns whether slots may be granted: all live homes have reported or timed out."""
+        return not self.unreported_homes or now_s >= self.settle_deadline_s
 
 
 class Holder:
-    """Answers the demand of homes with grants of the slots that this daemon holds.
+    """Grants the slots that this daemon holds to the homes that request them.
 
     :param send: sends a message to a daemon by incarnation, this one included.
     """
@@ -53,44 +59,44 @@
         self._grant_numbers = count(1)
 
     def update_members(self, live: Iterable[DaemonIdentity]) -> None:
-        """Takes the daemons that live and are not leaving, this one included if it stays."""
+        """Applies the list of live daemons that are not leaving, which may include this one."""
         self._live = {daemon.incarnation: daemon for daemon in live}
         for held in self._groups.values():
-            held.unreported &= self._live.keys()
-        self._choose_groups()
+            held.unreported_homes &= self._live.keys()
+        self._update_held_groups()
 
     def forget_home(self, incarnation: str) -> None:
-        """A daemon has died."""
+        """Drops the demand of a dead daemon; its slots stay in use while its tasks may run."""
         now_s = self._clock.now_s()
         for held in self._groups.values():
             held.ledger.forget_home(incarnation, now_s)
 
     def configure(self, configuration: Configuration) -> None:
-        """Takes a new configuration."""
+        """Applies a new configuration."""
         self._configuration = configuration
-        self._choose_groups()
+        self._update_held_groups()
         for group, held in self._groups.items():
             self._configure_ledger(group, held.ledger)
 
     def receive_demand(self, home: str, message: UpdateDemand) -> None:
-        """Takes what waits at a home."""
+        """Applies a home's counts of waiting tasks and its report of slots in use, if any."""
         group = SlotGroup(message.pool, message.failure_domain)
         held = self._groups.get(group)
         if held is None:
             return
         now_s = self._clock.now_s()
         if message.held is not None:
-            held.ledger.report_held(home, message.held, message.last_grant, now_s)
-            held.unreported.discard(home)
+            held.ledger.replace_held_slots(home, message.held, message.last_grant, now_s)
+            held.unreported_homes.discard(home)
             if not message.entries:
                 held.idle_homes.add(home)
-        if message.entries and now_s - held.told_s.get(home, 0.0) >= STALL_S:
+        if message.entries and now_s - held.last_message_s.get(home, 0.0) >= STALL_TIMEOUT_S:
             held.stalled_homes.add(home)
         held.ledger.update_demand(home, message.entries, message.last_grant, now_s)
         self._dirty.add(group)
 
     def receive_releases(self, message: ReleaseSlots) -> None:
-        """Takes slots back."""
+        """Applies the end of the use of slots."""
         group = SlotGroup(message.pool, message.failure_domain)
         held = self._groups.get(group)
         if held is None:
@@ -101,13 +107,16 @@
         self._dirty.add(group)
 
     def mark_waiting_groups(self) -> None:
-        """Marks the groups with waiting tasks for another decision, as time alone may change it."""
+        """Marks the groups with waiting tasks for the next flush.
+
+        Slots may become available by the passage of time alone, such as after an ejection.
+        """
         self._dirty.update(
             group for group, held in self._groups.items() if held.ledger.count_waiting()
         )
 
     def flush(self) -> None:
-        """Decides for all groups that have changed, and tells the homes."""
+        """Grants slots of all groups that have changed; sends grants and summaries to the homes."""
         now_s = self._clock.now_s()
         dirty, self._dirty = self._dirty, set()
         for group in dirty:
@@ -117,35 +126,37 @@
             if not held.is_settled(now_s):
                 self._dirty.add(group)
                 continue
-            grants = held.ledger.decide(now_s)
+            grants = held.ledger.grant_slots(now_s)
             summary = held.ledger.summarize(now_s)
             self._send_grants(group, grants, summary)
             self._send_summary(group, held, summary, now_s)
 
     def list_ledgers(self) -> list[SlotLedger]:
-        """Lists the ledgers kept here."""
+        """Returns the ledgers of the groups that this daemon holds."""
         return [held.ledger for held in self._groups.values()]
 
-    def _choose_groups(self) -> None:
-        chosen = {
-            group for group in list_slot_groups(self._configuration) if self._is_chosen(group)
+    def _update_held_groups(self) -> None:
+        assigned = {
+            group
+            for group in list_slot_groups(self._configuration)
+            if self._is_assigned_here(group)
         }
-        for group in self._groups.keys() - chosen:
+        for group in self._groups.keys() - assigned:
             del self._groups[group]
-        for group in chosen - self._groups.keys():
-            self._begin_group(group)
+        for group in assigned - self._groups.keys():
+            self._add_group(group)
 
-    def _is_chosen(self, group: SlotGroup) -> bool:
+    def _is_assigned_here(self, group: SlotGroup) -> bool:
         holder = choose_holder(group, self._live.values())
         return holder is not None and holder.incarnation == self._identity.incarnation
 
-    def _begin_group(self, group: SlotGroup) -> None:
+    def _add_group(self, group: SlotGroup) -> None:
         ledger = SlotLedger(
             self._identity.incarnation, group.pool, group.failure_domain, self._grant_numbers
         )
         self._configure_ledger(group, ledger)
-        settled_by_s = self._clock.now_s() + SETTLING_S
-        self._groups[group] = HeldGroup(ledger, set(self._live), settled_by_s)
+        settle_deadline_s = self._clock.now_s() + SETTLE_TIMEOUT_S
+        self._groups[group] = HeldGroup(ledger, set(self._live), settle_deadline_s)
 
     def _configure_ledger(self, group: SlotGroup, ledger: SlotLedger) -> None:
         configuration = self._configuration
@@ -170,39 +181,41 @@
         for addressed in grants:
             by_home.setdefault(addressed.home, []).append(addressed.grant)
         for home, home_grants in by_home.items():
-            self._groups[group].told_s[home] = self._clock.now_s()
+            self._groups[group].last_message_s[home] = self._clock.now_s()
             message = GrantSlots(group.pool, group.failure_domain, tuple(home_grants), summary)
             self._send(home, message)
 
     def _send_summary(
         self, group: SlotGroup, held: HeldGroup, summary: HolderSummary, now_s: float
     ) -> None:
-        own = self._identity.incarnation
-        self._send(own, summary)
+        own_incarnation = self._identity.incarnation
+        self._send(own_incarnation, summary)
         idle_homes, held.idle_homes = held.idle_homes, set()
         stalled_homes, held.stalled_homes = held.stalled_homes, set()
         last = held.last_summary
-        changed = last is None or _differ_for_homes(last, summary)
+        changed = last is None or _is_relevant_change(last, summary)
         if changed and now_s - held.last_summary_s >= SUMMARY_INTERVAL_S:
             held.last_summary = summary
             held.last_summary_s = now_s
             idle_homes = set(self._live)
         elif changed:
-            self._dirty.add(group)  # tells it at the next flush that is late enough
+            self._dirty.add(group)  # sent by the first flush after the summary interval
         elif not summary.free:
             idle_homes = set()
-        # An earlier summary may have been lost with its stream. A home that takes this group for
-        # full would let its tasks wait elsewhere; one that takes it for free would wait in vain.
-        for incarnation in (idle_homes | stalled_homes) - {own}:
-            held.told_s[incarnation] = now_s
+        # An earlier summary may have been lost with its stream. A home whose summary says that the
+        # group is full leaves its tasks waiting elsewhere; a home whose summary says that slots
+        # are free leaves its tasks waiting here.
+        for incarnation in (idle_homes | stalled_homes) - {own_incarnation}:
+            held.last_message_s[incarnation] = now_s
             self._send(incarnation, summary)
 
 
-def _differ_for_homes(last: HolderSummary, summary: HolderSummary) -> bool:
-    """Tells whether homes would place or refuse otherwise by the newer summary.
+def _is_relevant_change(last: HolderSummary, summary: HolderSummary) -> bool:
+    """Returns whether the newer summary would change how homes place or refuse tasks.
 
-    The count of waiting tasks matters without a free slot too: of a group whose endpoints leave,
-    homes would count tasks that have long gone elsewhere, and refuse new jobs for them.
+    Whether tasks wait matters without a free slot too: otherwise, homes would go on counting tasks
+    that have moved away from a group whose endpoints are leaving, and refuse new jobs because of
+    them.
     """
     return (
         bool(last.free) != bool(summary.free)
--- a/berylproxy/place/ledger.py
+++ b/berylproxy/place/ledger.py
@@ -1,7 +1,8 @@
-"""The slots of one failure domain's endpoints of one pool, and who uses them.
+"""Ledger of one slot group: which slots are in use, and which tasks get the free ones.
 
-This module decides and does nothing else: it has no clock and no sockets, every method takes the
-time. One daemon, the holder, keeps the ledger; the homes of the tasks ask it for slots.
+A group is the endpoints of one pool in one failure domain. One daemon, the holder, keeps the
+group's ledger; the homes of the tasks request slots from it. The module contains only decision
+logic, without clock or sockets: the time is a parameter of each method.
 """
 
 from collections.abc import Iterable, Iterator
@@ -32,19 +33,19 @@
     SlotForecast,
     TeamShare,
 )
-from berylproxy.place.speed import RunTimeBook
+from berylproxy.place.speed import RunTimeEstimator
 from berylproxy.records.models import Endpoint, Service, Team
 
 DEFAULT_RUN_TIME_S = 0.3
 UNLIMITED_SLOTS = 1_000_000
 SHORTEST_RUN_TIME_S = 0.001
-MAX_CONSIDERED_TASKS = 256  # in one decision
+MAX_CONSIDERED_TASKS = 256  # per call of grant_slots()
 SUMMARIZED_COSTS = 8
 
 
 @dataclass(frozen=True, slots=True)
 class AddressedGrant:
-    """A grant and the home that gets it."""
+    """A grant and the home that receives it."""
 
     home: str
     grant: SlotGrant
@@ -54,21 +55,23 @@
     """Grants slots: teams share by weight, older tasks go first, each goes where it ends soonest.
 
     :param issuer: incarnation of the daemon that keeps the ledger.
-    :param numbers: gives the grants' numbers; all ledgers that an issuer ever keeps share it, as
-        issuer and number name a slot's use.
+    :param grant_numbers: yields the numbers of grants; shared by all ledgers that an issuer ever
+        keeps, as issuer and number together identify the use of a slot.
     """
 
-    def __init__(self, issuer: str, pool: str, failure_domain: str, numbers: Iterator[int]) -> None:
+    def __init__(
+        self, issuer: str, pool: str, failure_domain: str, grant_numbers: Iterator[int]
+    ) -> None:
         self.issuer = issuer
         self.pool = pool
         self.failure_domain = failure_domain
-        self.run_times = RunTimeBook()
+        self.run_times = RunTimeEstimator()
         self._states: dict[str, EndpointState] = {}
         self._demands = DemandTable()
         self._services: dict[str, Service] = {}
         self._teams: dict[str, Team] = {}
         self._running: dict[str, int] = {}
-        self._numbers = numbers
+        self._grant_numbers = grant_numbers
         self._quotas: dict[str, int] = {}
 
     def configure(
@@ -78,9 +81,9 @@
         teams: dict[str, Team],
         quotas: dict[str, int],
     ) -> None:
-        """Takes a new configuration; slots in use at endpoints that are gone are forgotten.
+        """Applies a new configuration; drops the slots in use of endpoints that are removed.
 
-        :param quotas: the most slots that each team may use here.
+        :param quotas: maximum number of this group's slots that each team may use.
         """
         for name in self._states.keys() - endpoints.keys():
             for key in list(self._states[name].uses):
@@ -102,25 +105,30 @@
     def update_demand(
         self, home: str, entries: Iterable[DemandEntry], last_grant: int, now_s: float
     ) -> None:
-        """Replaces what a home asks for.
+        """Replaces a home's counts of waiting tasks.
 
-        :param last_grant: the last grant that the home had seen when it counted.
+        :param last_grant: number of the last grant that the home had received when it counted.
         """
         self._demands.replace(home, entries, last_grant, now_s)
 
-    def report_held(
+    def replace_held_slots(
         self, home: str, held: Iterable[HeldSlot], last_grant: int, now_s: float
     ) -> None:
-        """Takes a home's whole list of slots in use, in place of what was known of it."""
+        """Replaces a home's slots in use by the complete list that the home reports.
+
+        Grants that may still be in transit to the home stay in use.
+
+        :param last_grant: number of the last grant that the home had received when it reported.
+        """
         reported = {SlotKey(slot.issuer, slot.sequence): slot for slot in held}
         for name, state in self._states.items():
             for key, use in list(state.uses.items()):
-                on_its_way = (
+                is_in_transit = (
                     key.issuer == self.issuer
                     and key.sequence > last_grant
-                    and now_s < use.since_s + GRANT_TRANSIT_S
+                    and now_s < use.start_s + GRANT_TRANSIT_S
                 )
-                if use.home == home and key not in reported and not on_its_way:
+                if use.home == home and key not in reported and not is_in_transit:
                     self._end_use(name, key)
         for key, slot in reported.items():
             state = self._states.get(slot.endpoint)
@@ -129,7 +137,7 @@
                 self._begin_use(state, key, home, slot.team, now_s, expected_s)
 
     def forget_home(self, home: str, now_s: float) -> None:
-        """A home has died: its demand goes; its slots stay in use while its tasks may still run."""
+        """Drops a dead home's demand; its slots stay in use while its tasks may still run."""
         self._demands.forget(home)
         for state in self._states.values():
             for use in state.uses.values():
@@ -137,7 +145,7 @@
                     use.mark_lost(now_s)
 
     def release(self, release: SlotRelease, now_s: float) -> None:
-        """Takes the end of a slot's use and learns from it."""
+        """Ends the use of a slot; updates the endpoint's health and run times by the result."""
         state = self._states.get(release.endpoint)
         if state is None:
             return
@@ -152,20 +160,20 @@
         if result is SlotResult.DONE:
             self.run_times.add(release.endpoint, release.service, release.run_time_s)
 
-    def decide(self, now_s: float) -> list[AddressedGrant]:
+    def grant_slots(self, now_s: float) -> list[AddressedGrant]:
         """Grants free slots to waiting tasks.
 
-        A task is left waiting while a slot is free if a faster endpoint is expected to finish it
-        sooner, counting the time until that endpoint has a slot.
+        A task is left waiting although a slot is free if a faster endpoint is expected to finish
+        it sooner, including the wait for a slot of that endpoint.
         """
         self._drop_lost_slots(now_s)
         if not self._demands.by_key:
             return []
         forecast = self._forecast(now_s)
-        order = FairOrder(self._demands.by_key, self._share_teams())
+        order = FairOrder(self._demands.by_key, self._make_team_shares())
         grants = []
         for _ in range(MAX_CONSIDERED_TASKS):
-            task = order.take() if forecast.free else None
+            task = order.pop_next() if forecast.free else None
             if task is None:
                 break
             key, home = task
@@ -175,14 +183,14 @@
         return grants
 
     def count_waiting(self) -> int:
-        """Counts the tasks that wait for a slot here."""
+        """Returns the number of tasks that wait for a slot of this group."""
         return self._demands.count_waiting()
 
     def summarize(self, now_s: float) -> HolderSummary:
-        """Tells how busy the endpoints are."""
+        """Summarizes the load of the usable endpoints for the homes."""
         usable = [state for state in self._states.values() if state.is_usable(now_s)]
         turnover_per_s = sum(
-            state.endpoint.slots / self._expected_any_run_time_s(state.endpoint.name)
+            state.endpoint.slots / self._mean_expected_run_time_s(state.endpoint.name)
             for state in usable
         )
         return HolderSummary(
@@ -196,14 +204,14 @@
         )
 
     def list_states(self) -> list[EndpointState]:
-        """Lists the endpoints with their slots in use and their health."""
+        """Returns the endpoints with their slots in use and their health."""
         return list(self._states.values())
 
     def _list_costs_s(self, turnover_per_s: float, now_s: float) -> tuple[float, ...]:
-        """What the next tasks would cost after those that wait."""
+        """Lists the costs of the next tasks, queued behind those that wait already."""
         costs_s: list[float] = []
         for name, forecast in self._make_forecasts(now_s).items():
-            run_time_s = self._expected_any_run_time_s(name)
+            run_time_s = self._mean_expected_run_time_s(name)
             costs_s += forecast.list_costs_s(run_time_s, now_s, SUMMARIZED_COSTS)
         waiting = self.count_waiting()
         wait_s = waiting / turnover_per_s if turnover_per_s else 0.0
@@ -213,7 +221,7 @@
 
     def _forecast(self, now_s: float) -> SlotForecast:
         return SlotForecast(
-            self._make_forecasts(now_s), self._expected_run_time_s, self._can_take, now_s
+            self._make_forecasts(now_s), self._expected_run_time_s, self._can_run, now_s
         )
 
     def _make_forecasts(self, now_s: float) -> dict[str, EndpointForecast]:
@@ -223,7 +231,7 @@
             if state.is_usable(now_s)
         }
 
-    def _share_teams(self) -> dict[str, TeamShare]:
+    def _make_team_shares(self) -> dict[str, TeamShare]:
         shares = {}
         for key in self._demands.by_key:
             team = self._teams.get(key.team)
@@ -233,7 +241,7 @@
         return shares
 
     def _grant(self, key: DemandKey, home: str, endpoint: str, now_s: float) -> AddressedGrant:
-        number = next(self._numbers)
+        number = next(self._grant_numbers)
         self._demands.note_grant(home, key, number, now_s)
         state = self._states[endpoint]
         slot = SlotKey(self.issuer, number)
@@ -269,15 +277,15 @@
                 if use.lost_until_s and now_s >= use.lost_until_s:
                     self._end_use(name, slot)
 
-    def _can_take(self, endpoint: str, key: DemandKey) -> bool:
-        return self._states[endpoint].can_ever_take(key.needs)
+    def _can_run(self, endpoint: str, key: DemandKey) -> bool:
+        return self._states[endpoint].can_ever_run(key.needs)
 
     def _expected_run_time_s(self, endpoint: str, service: str) -> float:
-        known = self._services.get(service)
-        declared_s = known.run_time_s if known is not None else DEFAULT_RUN_TIME_S
+        service_record = self._services.get(service)
+        declared_s = service_record.run_time_s if service_record is not None else DEFAULT_RUN_TIME_S
         return self.run_times.expected_run_time_s(endpoint, service, declared_s)
 
-    def _expected_any_run_time_s(self, endpoint: str) -> float:
-        services = [name for name, known in self._services.items() if self.pool in known.pools]
+    def _mean_expected_run_time_s(self, endpoint: str) -> float:
+        services = [name for name, record in self._services.items() if self.pool in record.pools]
         times_s = [self._expected_run_time_s(endpoint, service) for service in services]
         return max(sum(times_s) / len(times_s), SHORTEST_RUN_TIME_S) if times_s else 1.0
--- a/berylproxy/place/messages.py
+++ b/berylproxy/place/messages.py
@@ -5,11 +5,11 @@
 
 @dataclass(frozen=True, slots=True)
 class DemandEntry:
-    """Tasks of one kind that wait at a home.
+    """Tasks of one service and team with the same needs that wait at a home.
 
     :param needs: resources by name, sorted.
-    :param waiting: how many wait now; an absolute count.
-    :param oldest_age_s: how long ago the oldest one's job was accepted.
+    :param waiting: number of waiting tasks; an absolute count.
+    :param oldest_age_s: time since the job of the oldest waiting task was accepted.
     """
 
     service: str
@@ -36,12 +36,13 @@
 
 @dataclass(frozen=True, slots=True)
 class UpdateDemand:
-    """Home to holder: what waits, as absolute counts.
+    """Home to holder: absolute counts of the tasks that wait for slots of a group.
 
-    :param pool: the pool whose slots are asked for.
+    :param pool: the pool whose slots are requested.
     :param failure_domain: the failure domain of the endpoints.
-    :param last_grant: number of the last grant that the home has seen from this holder.
-    :param held: all slots in use at the home, where it tells them; ``None`` otherwise.
+    :param last_grant: number of the last grant that the home has received from this holder.
+    :param held: all slots of the group in use at the home; ``None`` if the message does not report
+        them.
     """
 
     pool: str
@@ -64,10 +65,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SlotRelease:
-    """The end of a slot's use.
+    """The end of the use of a slot.
 
-    :param result: a value of :class:`berylproxy.place.ledger.SlotResult`.
-    :param run_time_s: time from sending to the whole answer; 0 where there was none.
+    :param result: a value of :class:`berylproxy.place.endpoint_state.SlotResult`.
+    :param run_time_s: time from sending the task to its complete answer; 0 without an answer.
     """
 
     issuer: str
@@ -80,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleaseSlots:
-    """Home to holder: slots that are free again."""
+    """Home to holder: slots that the home has stopped using."""
 
     pool: str
     failure_domain: str
@@ -89,14 +90,14 @@
 
 @dataclass(frozen=True, slots=True)
 class HolderSummary:
-    """Holder to homes: how busy its endpoints are.
-
-    :param free: slots that nobody uses.
-    :param waiting: tasks that wait for a slot here.
-    :param slots: all usable slots.
-    :param turnover_per_s: slots that become free in a second when all are in use.
-    :param costs_s: what each of the next few tasks would cost, the first one's first: its expected
-        run time and its weighted wait.
+    """Holder to homes: the load of a group's endpoints.
+
+    :param free: number of slots that may be granted now.
+    :param waiting: number of tasks that wait for a slot of the group.
+    :param slots: number of slots of all usable endpoints.
+    :param turnover_per_s: slots that become free per second when all are in use.
+    :param costs_s: costs of the next few tasks in their order; a task's cost is its expected run
+        time plus its weighted wait.
     """
 
     pool: str
@@ -112,7 +113,7 @@
 class GrantSlots:
     """Holder to home: slots that the home may use now.
 
-    :param summary: how busy the holder's endpoints are after these grants.
+    :param summary: the load of the group's endpoints after these grants.
     """
 
     pool: str
--- a/berylproxy/place/requester.py
+++ b/berylproxy/place/requester.py
@@ -1,4 +1,4 @@
-"""Asks the holders for slots on behalf of this daemon's waiting tasks."""
+"""Requests slots from the holders for the tasks that wait at this daemon."""
 
 from collections import Counter
 from collections.abc import Callable, Iterable
@@ -21,14 +21,16 @@
 from berylproxy.records.models import Configuration
 from berylproxy.waiting.queue import WaitingQueue
 
-FIRST_REPORT_INTERVAL_S = 1.0  # a holder may learn later than its homes that it is one
+# The first reports are more frequent: a daemon may learn later than its homes that it is the
+# holder, and drops the reports that arrive before.
+FIRST_REPORT_INTERVAL_S = 1.0
 FIRST_REPORTS = 3
 REPORT_INTERVAL_S = 5.0
-DEMAND_REPEAT_S = 1.0  # an update that was lost must not leave tasks waiting
+DEMAND_REPEAT_S = 1.0  # keeps a lost update from leaving tasks waiting
 
 
-class GroupLink:
-    """What this daemon knows of the holder of one slot group.
+class HolderState:
+    """State of the communication with the holder of one slot group.
 
     :param holder: the holder's incarnation.
     """
@@ -38,17 +40,17 @@
         self.last_grant = 0
         self.last_counts: Counter[DemandKey] = Counter()
         self.report_due_s = 0.0
-        self.reports = 0
+        self.sent_reports = 0
         self.last_update_s = 0.0
         self.releases: list[SlotRelease] = []
 
 
 class SlotRequester:
-    """Registers demand with holders, hands granted slots to tasks and gives slots back.
+    """Registers demand with the holders, starts tasks in granted slots and releases the slots.
 
     :param send: sends a message to a daemon by incarnation, this one included.
-    :param start: starts a task in a slot; it must call :meth:`release` once.
-    :param is_reachable: tells whether messages get to a daemon now.
+    :param start: starts a task in a slot; :meth:`release` must be called once for the slot.
+    :param is_reachable: returns whether messages can be delivered to a daemon now, by incarnation.
     """
 
     def __init__(
@@ -66,7 +68,7 @@
         self._start = start
         self._is_reachable = is_reachable
         self._spread = DemandSpread(identity.failure_domain)
-        self._links: dict[SlotGroup, GroupLink] = {}
+        self._holder_states: dict[SlotGroup, HolderState] = {}
         self._held: dict[tuple[str, int], tuple[SlotGroup, HeldSlot]] = {}
         self._configuration = Configuration()
         self._live: list[DaemonIdentity] = [identity]
@@ -77,17 +79,17 @@
         self.unchanged_reports = 0
 
     def update_members(self, live: Iterable[DaemonIdentity]) -> None:
-        """Takes the daemons that live and are not leaving."""
+        """Applies the list of live daemons that are not leaving."""
         self._live = list(live)
         self._choose_holders()
 
     def configure(self, configuration: Configuration) -> None:
-        """Takes a new configuration."""
+        """Applies a new configuration."""
         self._configuration = configuration
         self._choose_holders()
 
     def can_place(self, service: str) -> bool:
-        """Tells whether any holder can grant slots for a service."""
+        """Returns whether any reachable holder can grant slots for a service."""
         return self._spread.has_group(service)
 
     def estimate_wait_s(self, service: str, new_tasks: int) -> float:
@@ -95,30 +97,30 @@
         return self._spread.estimate_wait_s(service, new_tasks)
 
     def estimate_run_time_s(self, service: str) -> float:
-        """Estimates the mean run time of a service's tasks; 0 while nothing is known."""
+        """Estimates the mean run time of a service's tasks; 0 without any summary."""
         return self._spread.estimate_run_time_s(service)
 
     def has_releases(self) -> bool:
-        """Tells whether slots are to be given back."""
-        return any(link.releases for link in self._links.values())
+        """Returns whether releases of slots are waiting to be sent."""
+        return any(state.releases for state in self._holder_states.values())
 
     def receive_summary(self, summary: HolderSummary) -> None:
-        """Takes a holder's summary."""
-        if SlotGroup(summary.pool, summary.failure_domain) in self._links:
+        """Applies a holder's summary."""
+        if SlotGroup(summary.pool, summary.failure_domain) in self._holder_states:
             self._spread.update_summary(summary)
 
     def receive_grants(self, holder: str, message: GrantSlots) -> None:
-        """Starts a waiting task in each granted slot, or gives the slot back."""
+        """Starts a waiting task in each granted slot; releases slots that no task waits for."""
         group = SlotGroup(message.pool, message.failure_domain)
-        link = self._links.get(group)
-        if link is None or link.holder != holder:
-            # Two daemons may both take themselves for the holder; a home obeys only one of them.
+        state = self._holder_states.get(group)
+        if state is None or state.holder != holder:
+            # Two daemons may both act as the holder; a home accepts the grants of only one.
             self.ignored_grants += len(message.grants)
             return
         for grant in message.grants:
             key = DemandKey(grant.service, grant.team, grant.needs)
-            link.last_grant = grant.sequence
-            self._note_grant(group, link, key)
+            state.last_grant = grant.sequence
+            self._note_grant(group, state, key)
             slot = HeldSlot(holder, grant.sequence, grant.endpoint, grant.service, grant.team)
             self._held[holder, grant.sequence] = (group, slot)
             run = self._queue.pop(key)
@@ -131,95 +133,101 @@
             self._spread.update_summary(message.summary)
 
     def release(self, slot: HeldSlot, result: SlotResult, run_time_s: float = 0.0) -> None:
-        """Gives a slot back and tells how its use ended."""
+        """Queues the release of a slot for its holder, with the result of its use."""
         group, _ = self._held.pop((slot.issuer, slot.sequence))
-        link = self._links.get(group)
-        if link is not None:
-            link.releases.append(
+        state = self._holder_states.get(group)
+        if state is not None:
+            state.releases.append(
                 SlotRelease(
                     slot.issuer, slot.sequence, slot.endpoint, slot.service, result, run_time_s
                 )
             )
 
     def flush(self) -> None:
-        """Tells the holders what has changed."""
+        """Sends changed demand, releases and reports that are due to the holders."""
         now_s = self._clock.now_s()
-        self._check_reachable_holders()
+        self._update_reachable_holders()
         for key in self._spread.list_keys().union(self._queue.list_keys()):
             self._spread.balance(key, self._queue.count(key))
         self._spread.move_to_free_slots()
-        for group, link in self._links.items():
-            self._flush_releases(group, link)
-            self._flush_demand(group, link, now_s)
+        for group, state in self._holder_states.items():
+            self._flush_releases(group, state)
+            self._flush_demand(group, state, now_s)
 
-    def _note_grant(self, group: SlotGroup, link: GroupLink, key: DemandKey) -> None:
+    def _note_grant(self, group: SlotGroup, state: HolderState, key: DemandKey) -> None:
         self._spread.note_grant(group, key)
-        # The holder counts its grants itself, so that an update for each would tell it nothing.
-        if link.last_counts[key] > 0:
-            link.last_counts[key] -= 1
+        # The holder subtracts its grants from the demand, so they need no update of their own.
+        if state.last_counts[key] > 0:
+            state.last_counts[key] -= 1
 
     def _choose_holders(self) -> None:
-        links: dict[SlotGroup, GroupLink] = {}
+        states: dict[SlotGroup, HolderState] = {}
         for group in list_slot_groups(self._configuration):
             holder = choose_holder(group, self._live)
             if holder is None:
                 continue
-            link = self._links.get(group)
-            if link is None or link.holder != holder.incarnation:
-                link = GroupLink(holder.incarnation)
-            links[group] = link
-        self._links = links
+            state = self._holder_states.get(group)
+            if state is None or state.holder != holder.incarnation:
+                state = HolderState(holder.incarnation)
+            states[group] = state
+        self._holder_states = states
         self._reachable = self._list_reachable_holders()
         self._configure_spread()
 
-    def _check_reachable_holders(self) -> None:
+    def _update_reachable_holders(self) -> None:
         reachable = self._list_reachable_holders()
         if reachable != self._reachable:
-            for link in self._links.values():
-                if link.holder in reachable - self._reachable:
-                    link.report_due_s = 0.0  # messages may have been lost
+            for state in self._holder_states.values():
+                if state.holder in reachable - self._reachable:
+                    state.report_due_s = 0.0  # messages may have been lost
             self._reachable = reachable
             self._configure_spread()
 
     def _list_reachable_holders(self) -> frozenset[str]:
-        holders = {link.holder for link in self._links.values()}
+        holders = {state.holder for state in self._holder_states.values()}
         return frozenset(holder for holder in holders if self._is_reachable(holder))
 
     def _configure_spread(self) -> None:
-        usable = [group for group, link in self._links.items() if link.holder in self._reachable]
+        usable = [
+            group for group, state in self._holder_states.items() if state.holder in self._reachable
+        ]
         groups_of_service = {
             name: [group for group in usable if group.pool in service.pools]
             for name, service in self._configuration.services.items()
         }
         self._spread.configure(groups_of_service)
 
-    def _flush_releases(self, group: SlotGroup, link: GroupLink) -> None:
-        if not link.releases:
+    def _flush_releases(self, group: SlotGroup, state: HolderState) -> None:
+        if not state.releases:
             return
-        releases, link.releases = tuple(link.releases), []
-        self._send(link.holder, ReleaseSlots(group.pool, group.failure_domain, releases))
+        releases, state.releases = tuple(state.releases), []
+        self._send(state.holder, ReleaseSlots(group.pool, group.failure_domain, releases))
 
-    def _flush_demand(self, group: SlotGroup, link: GroupLink, now_s: float) -> None:
+    def _flush_demand(self, group: SlotGroup, state: HolderState, now_s: float) -> None:
         counts = self._spread.list_entries(group)
-        report_due = now_s >= link.report_due_s
-        repeat_due = bool(counts) and now_s >= link.last_update_s + DEMAND_REPEAT_S
-        if counts == link.last_counts and not report_due and not repeat_due:
+        is_report_due = now_s >= state.report_due_s
+        is_repeat_due = bool(counts) and now_s >= state.last_update_s + DEMAND_REPEAT_S
+        if counts == state.last_counts and not is_report_due and not is_repeat_due:
             return
-        if counts == link.last_counts and link.holder != self._incarnation:
+        if counts == state.last_counts and state.holder != self._incarnation:
             self.unchanged_reports += 1
-        link.last_counts = counts
-        link.last_update_s = now_s
+        state.last_counts = counts
+        state.last_update_s = now_s
         entries = tuple(self._make_entry(key, count, now_s) for key, count in counts.items())
-        held = self._report_held(group, link, now_s) if report_due else None
+        held = self._make_held_report(group, state, now_s) if is_report_due else None
         self._send(
-            link.holder,
-            UpdateDemand(group.pool, group.failure_domain, entries, link.last_grant, held),
+            state.holder,
+            UpdateDemand(group.pool, group.failure_domain, entries, state.last_grant, held),
         )
 
-    def _report_held(self, group: SlotGroup, link: GroupLink, now_s: float) -> tuple[HeldSlot, ...]:
-        link.reports += 1
-        is_new = link.reports <= FIRST_REPORTS
-        link.report_due_s = now_s + (FIRST_REPORT_INTERVAL_S if is_new else REPORT_INTERVAL_S)
+    def _make_held_report(
+        self, group: SlotGroup, state: HolderState, now_s: float
+    ) -> tuple[HeldSlot, ...]:
+        state.sent_reports += 1
+        is_early_report = state.sent_reports <= FIRST_REPORTS
+        state.report_due_s = now_s + (
+            FIRST_REPORT_INTERVAL_S if is_early_report else REPORT_INTERVAL_S
+        )
         return tuple(slot for held_group, slot in self._held.values() if held_group == group)
 
     def _make_entry(self, key: DemandKey, count: int, now_s: float) -> DemandEntry:
--- a/berylproxy/place/speed.py
+++ b/berylproxy/place/speed.py
@@ -1,8 +1,8 @@
-"""Run times learnt for each endpoint and service."""
+"""Estimates run times for each endpoint and service from finished tasks."""
 
 from dataclasses import dataclass
 
-MEAN_GAIN = 0.02  # weight of a new run time in the moving mean; 0.1 followed single long tasks
+MEAN_GAIN = 0.02  # weight of a new run time in the moving mean; 0.1 let single long tasks skew it
 
 
 @dataclass(slots=True)
@@ -13,17 +13,17 @@
     samples: int = 0
 
     def add(self, run_time_s: float) -> None:
-        """Takes one run time."""
+        """Adds one run time to the mean."""
         self.samples += 1
-        gain = max(MEAN_GAIN, 1 / self.samples)  # a plain mean at first
+        gain = max(MEAN_GAIN, 1 / self.samples)  # arithmetic mean of the first samples
         self.mean_s += gain * (run_time_s - self.mean_s)
 
 
-class RunTimeBook:
+class RunTimeEstimator:
     """Expected run times by endpoint and service.
 
-    An endpoint that has not run a service yet is taken to be as fast as the fastest known one, so
-    that it is tried.
+    An endpoint that has not run a service yet is assumed to be as fast as the fastest known one,
+    so that it is sent tasks.
     """
 
     def __init__(self) -> None:
@@ -31,16 +31,16 @@
         self._fastest_s: dict[str, float] = {}
 
     def add(self, endpoint: str, service: str, run_time_s: float) -> None:
-        """Takes the run time of a finished task."""
+        """Adds the run time of a finished task."""
         self._means.setdefault((endpoint, service), RunTimeMean()).add(run_time_s)
         self._fastest_s[service] = min(
             mean.mean_s for (_, known), mean in self._means.items() if known == service
         )
 
     def expected_run_time_s(self, endpoint: str, service: str, declared_s: float) -> float:
-        """The expected run time of a task.
+        """Returns the expected run time of a task in seconds.
 
-        :param declared_s: the service's declared run time, used until one is learnt.
+        :param declared_s: the service's declared run time, used until a task of it has finished.
         """
         mean = self._means.get((endpoint, service))
         if mean is not None:
@@ -48,5 +48,5 @@
         return self._fastest_s.get(service, declared_s)
 
     def forget_endpoint(self, endpoint: str) -> None:
-        """Drops what was learnt of an endpoint."""
+        """Drops the run times of an endpoint."""
         self._means = {key: mean for key, mean in self._means.items() if key[0] != endpoint}
--- a/berylproxy/waiting/__init__.py
+++ b/berylproxy/waiting/__init__.py
@@ -1,1 +1,1 @@
-"""Holds the tasks of accepted jobs until a slot is granted."""
+"""Waiting: admits new jobs and queues their tasks until a slot is granted."""
--- a/berylproxy/waiting/admission.py
+++ b/berylproxy/waiting/admission.py
@@ -1,4 +1,4 @@
-"""Takes new jobs or refuses them, by the configuration and the load of the moment."""
+"""Admission control: accepts or refuses new jobs by the configuration and the current load."""
 
 from typing import Protocol
 
@@ -18,44 +18,44 @@
 REFUSED_RETRY_AFTER_S = 2.0
 
 
-class SlotOutlook(Protocol):
-    """What is expected of the endpoints' slots."""
+class SlotAvailability(Protocol):
+    """Expected availability of the endpoints' slots."""
 
     def can_place(self, service: str) -> bool:
-        """Tells whether any holder can grant slots for a service."""
+        """Returns whether any holder can grant slots for a service."""
 
     def estimate_wait_s(self, service: str, new_tasks: int) -> float:
         """Estimates the time until the last of some new tasks would start."""
 
     def estimate_run_time_s(self, service: str) -> float:
-        """Estimates the mean run time of a service's tasks; 0 while nothing is known."""
+        """Estimates the mean run time of a service's tasks; 0 while there is no estimate."""
 
 
 class AdmissionControl:
-    """Refuses what can't be served in time, and everything once the daemon stops."""
+    """Refuses jobs that cannot be served in time, and all jobs once the daemon is stopping."""
 
-    def __init__(self, queue: WaitingQueue, outlook: SlotOutlook) -> None:
+    def __init__(self, queue: WaitingQueue, slot_availability: SlotAvailability) -> None:
         self._queue = queue
-        self._outlook = outlook
+        self._slot_availability = slot_availability
         self._configuration = Configuration()
-        self.takes_new_jobs = True
+        self.accepts_new_jobs = True
 
     def configure(self, configuration: Configuration) -> None:
-        """Takes a new configuration."""
+        """Applies a new configuration."""
         self._configuration = configuration
 
     def resolve_timeout_s(self, submission: Submission) -> float:
-        """Returns the time after which the submission is given up on; 0 without its service."""
+        """Returns a submission's timeout, limited by its service's; 0 if the service is unknown."""
         service = self._configuration.services.get(submission.service)
         longest_s = service.timeout_s if service is not None else 0.0
         return min(submission.timeout_s or longest_s, longest_s)
 
     def check(self, submission: Submission) -> None:
-        """Checks whether a new submission can be taken now.
+        """Checks whether a new submission can be accepted now.
 
-        :raises AdmissionError: if not.
+        :raises AdmissionError: if the submission must be refused.
         """
-        if not self.takes_new_jobs:
+        if not self.accepts_new_jobs:
             raise HomeLeavingError("this daemon is stopping", retry_after_s=REFUSED_RETRY_AFTER_S)
         service = self._configuration.services.get(submission.service)
         if service is None:
@@ -63,7 +63,7 @@
                 f"no service {submission.service[:64]!r}", hint="see berylctl get services"
             )
         check_tasks(service, self._configuration.endpoints.values(), submission.tasks)
-        if not self._outlook.can_place(service.name):
+        if not self._slot_availability.can_place(service.name):
             raise NoEndpointError(
                 f"no endpoint serves {service.name} now", retry_after_s=REFUSED_RETRY_AFTER_S
             )
@@ -76,6 +76,6 @@
             self._queue.count_team(submission.team),
             team.max_waiting_tasks if team is not None else DEFAULT_TEAM_QUOTA,
             len(self._queue),
-            self._outlook.estimate_wait_s(submission.service, len(submission.tasks)),
-            self._outlook.estimate_run_time_s(submission.service),
+            self._slot_availability.estimate_wait_s(submission.service, len(submission.tasks)),
+            self._slot_availability.estimate_run_time_s(submission.service),
         )
--- a/berylproxy/waiting/queue.py
+++ b/berylproxy/waiting/queue.py
@@ -1,4 +1,4 @@
-"""Tasks that wait at their home for a slot."""
+"""Queue of the tasks that wait at their home for a slot."""
 
 from collections import deque
 from collections.abc import Iterator
@@ -7,9 +7,9 @@
 
 
 class WaitingQueue:
-    """First in, first out for each demand key.
+    """Waiting tasks, first in, first out for each demand key.
 
-    Tasks of finished jobs are skipped when they come up, and counted out at once.
+    Discarded tasks leave the counts at once; their queue entries are skipped by later calls.
     """
 
     def __init__(self) -> None:
@@ -27,12 +27,12 @@
         self._add(run)
 
     def push_front(self, run: TaskRun) -> None:
-        """Adds a task at the front: one that a slot grant could not serve."""
+        """Adds a task at the front, such as one that could not run in its granted slot."""
         self._queues.setdefault(run.key, deque()).appendleft(run)
         self._add(run)
 
     def pop(self, key: DemandKey) -> TaskRun | None:
-        """Takes the oldest task of a key; ``None`` if there is none."""
+        """Removes and returns the oldest task of a key; ``None`` if there is none."""
         queue = self._queues.get(key)
         if queue is None:
             return None
@@ -47,25 +47,25 @@
         return found
 
     def discard(self, runs: list[TaskRun]) -> None:
-        """Takes out tasks that need not run any more."""
+        """Removes tasks that need not run any more; ignores those that do not wait."""
         for run in runs:
             if run in self._waiting:
                 self._subtract(run)
 
     def count(self, key: DemandKey) -> int:
-        """Counts the waiting tasks of a key."""
+        """Returns the number of waiting tasks of a key."""
         return self._counts.get(key, 0)
 
     def count_team(self, team: str) -> int:
-        """Counts the waiting tasks of a team."""
+        """Returns the number of waiting tasks of a team."""
         return self._team_counts.get(team, 0)
 
     def list_keys(self) -> list[DemandKey]:
-        """Lists the keys that have waiting tasks."""
+        """Returns the keys that have waiting tasks."""
         return list(self._counts)
 
     def oldest_accepted_s(self, key: DemandKey) -> float:
-        """The time at which the job of the oldest waiting task was accepted; 0 if none waits."""
+        """Returns when the job of a key's oldest waiting task was accepted; 0 if none waits."""
         run = next(self._iterate(key), None)
         return run.job.accepted_s if run is not None else 0.0
 
--- a/tests/steps/claims_steps.py
+++ b/tests/steps/claims_steps.py
@@ -6,7 +6,7 @@
 from behave import given, then, when
 
 from berylproxy.clock import MonotonicClock
-from berylproxy.deduplicate.claims import ClaimBook, hash_key
+from berylproxy.deduplicate.claims import ClaimRegistry, hash_key
 from berylproxy.deduplicate.errors import ClaimUnavailableError
 from tests.support.memory_store import MemoryStore
 
@@ -14,11 +14,11 @@
 
 
 @given("two claim books over one store in memory")
-def step_books(context):
+def step_claim_registries(context):
     context.claim_store = MemoryStore()
     context.wall_time_s = 1_000_000.0
-    context.books = {
-        name: ClaimBook(context.claim_store, MonotonicClock(), lambda: context.wall_time_s)
+    context.claim_registries = {
+        name: ClaimRegistry(context.claim_store, MonotonicClock(), lambda: context.wall_time_s)
         for name in ("first", "second")
     }
     context.claimed = []
@@ -34,12 +34,12 @@
         await sleep(random.random() / 100)
         job_id = f"{name}-{number}"
         key_hash = hash_key("team", str(number))
-        context.found[name][number] = await context.books[name].claim(key_hash, job_id)
+        context.found[name][number] = await context.claim_registries[name].claim(key_hash, job_id)
 
     async def claim_all():
         async with create_task_group() as tasks:
             for number in range(count):
-                for name in context.books:
+                for name in context.claim_registries:
                     tasks.start_soon(claim, name, number)
 
     run(claim_all)
@@ -65,14 +65,17 @@
 @when('the {name} book claims the same key for "{job_id}"')
 def step_claim(context, name, job_id):
     try:
-        context.claimed.append(run(context.books[name].claim, KEY, job_id))
+        context.claimed.append(run(context.claim_registries[name].claim, KEY, job_id))
     except ClaimUnavailableError as error:
         context.claim_error = error
 
 
 @when("the {name} book searches for the key")
 def step_search(context, name):
-    context.searched = [*getattr(context, "searched", []), run(context.books[name].find, KEY)]
+    context.searched = [
+        *getattr(context, "searched", []),
+        run(context.claim_registries[name].find, KEY),
+    ]
 
 
 @when("{seconds:d} s pass")
--- a/tests/steps/keys_steps.py
+++ b/tests/steps/keys_steps.py
@@ -17,7 +17,9 @@
     )
 
 
-def take_job(context, key: str, count: int, shortest_s: float, longest_s: float, seed: int) -> None:
+def prepare_job(
+    context, key: str, count: int, shortest_s: float, longest_s: float, seed: int
+) -> None:
     """Makes the job that the next steps send."""
     context.key = key
     context.tasks = make_tasks(count, shortest_s, longest_s, seed)
@@ -28,7 +30,7 @@
     "to all daemons at once under one key"
 )
 def step_send_to_all(context, count, shortest, longest, seed):
-    take_job(context, "first-key", count, shortest, longest, seed)
+    prepare_job(context, "first-key", count, shortest, longest, seed)
     daemons = range(len(context.cluster.daemons))
     with ThreadPoolExecutor(len(daemons)) as pool:
         context.responses = list(pool.map(lambda daemon: send_job(context, daemon), daemons))
@@ -39,7 +41,7 @@
     "to daemon {daemon:d} under a new key"
 )
 def step_send_new(context, count, shortest, longest, seed, daemon):
-    take_job(context, f"key-{seed}", count, shortest, longest, seed)
+    prepare_job(context, f"key-{seed}", count, shortest, longest, seed)
     context.responses = [send_job(context, daemon)]
 
 
@@ -73,12 +75,12 @@
         if context.cluster.read_status(number)["daemon"]["incarnation"] == home:
             context.killed = number
     context.cluster.daemons[context.killed].kill()
-    living = (context.killed + 1) % len(context.cluster.daemons)
+    live_daemon = (context.killed + 1) % len(context.cluster.daemons)
     context.cluster.wait_until(
         lambda: home
         in [
             peer["incarnation"]
-            for peer in context.cluster.read_status(living)["peers"]
+            for peer in context.cluster.read_status(live_daemon)["peers"]
             if peer["status"] == "dead"
         ],
         "the home is held for dead",
@@ -86,9 +88,9 @@
 
 
 @when("the job is sent to a living daemon under the same key again")
-def step_send_to_living(context):
-    living = (context.killed + 1) % len(context.cluster.daemons)
-    context.responses = [send_job(context, living)]
+def step_send_to_live_daemon(context):
+    live_daemon = (context.killed + 1) % len(context.cluster.daemons)
+    context.responses = [send_job(context, live_daemon)]
 
 
 @then("every answer under the key is the same and whole")
--- a/tests/steps/ledger_steps.py
+++ b/tests/steps/ledger_steps.py
@@ -25,16 +25,18 @@
     context.ledger.configure(context.endpoints, {SERVICE: service}, context.teams, quotas)
 
 
-def ask(context, home: str, waiting: int, team: str = "t", last_grant: int | None = None) -> None:
+def update_demand(
+    context, home: str, waiting: int, team: str = "t", last_grant: int | None = None
+) -> None:
     """Registers demand; by default the home has seen all grants."""
     seen = context.last_grant if last_grant is None else last_grant
     entry = DemandEntry(SERVICE, team, (), waiting, 0.0)
     context.ledger.update_demand(home, [entry], seen, context.now_s)
 
 
-def decide(context) -> list:
+def grant_slots(context) -> list:
     """Takes the ledger's decision and remembers its grants."""
-    addressed = context.ledger.decide(context.now_s)
+    addressed = context.ledger.grant_slots(context.now_s)
     context.grants = [grant.grant for grant in addressed]
     if context.grants:
         context.last_grant = max(grant.sequence for grant in context.grants)
@@ -78,42 +80,42 @@
 
 
 @when('home "{home}" asks for {waiting:d} slots for team "{team}"')
-def step_ask_for_team(context, home, waiting, team):
-    ask(context, home, waiting, team)
+def step_request_slots_for_team(context, home, waiting, team):
+    update_demand(context, home, waiting, team)
 
 
 @when('home "{home}" asks for {waiting:d} slots')
 @when('home "{home}" asks for {waiting:d} slot')
-def step_ask(context, home, waiting):
-    ask(context, home, waiting)
+def step_request_slots(context, home, waiting):
+    update_demand(context, home, waiting)
 
 
 @when('the slot is given back as "{result}"')
-def step_give_back(context, result):
-    (grant,) = decide(context)
+def step_release(context, result):
+    (grant,) = grant_slots(context)
     context.refusing = grant.endpoint
     release(context, grant, result)
 
 
 @when("{tasks:d} tasks one after another are done there")
-def step_do_more(context, tasks):
+def step_finish_tasks(context, tasks):
     for _ in range(tasks):
         for grant in context.grants:
             release(context, grant, "done")
-        ask(context, "a", 4)
-        decide(context)
+        update_demand(context, "a", 4)
+        grant_slots(context)
     for grant in context.grants:
         release(context, grant, "done")
-    ask(context, "a", 4)
+    update_demand(context, "a", 4)
 
 
 @when('{failures:d} tasks in a row fail at "{endpoint}"')
 def step_fail(context, failures, endpoint):
-    ask(context, "a", 4)
-    at_endpoint = [grant for grant in decide(context) if grant.endpoint == endpoint]
+    update_demand(context, "a", 4)
+    at_endpoint = [grant for grant in grant_slots(context) if grant.endpoint == endpoint]
     for number in range(failures):
         release(context, at_endpoint[number % len(at_endpoint)], "failed")
-    context.ledger.report_held("a", [], context.last_grant, context.now_s)
+    context.ledger.replace_held_slots("a", [], context.last_grant, context.now_s)
 
 
 @when("{seconds:g} s pass in the ledger")
@@ -123,12 +125,12 @@
 
 @when('home "{home}" repeats that it waits for {waiting:d} tasks without having seen a grant')
 def step_repeat_unseen(context, home, waiting):
-    ask(context, home, waiting, last_grant=0)
+    update_demand(context, home, waiting, last_grant=0)
 
 
 @when('home "{home}" repeats that it waits for {waiting:d} tasks after having seen both grants')
 def step_repeat_seen(context, home, waiting):
-    ask(context, home, waiting)
+    update_demand(context, home, waiting)
 
 
 @when('home "{home}" dies')
@@ -139,32 +141,32 @@
 @when('home "{home}" reports {in_use:d} slots in use that another holder had granted')
 def step_report(context, home, in_use):
     held = [HeldSlot("e" * 12, number, f"e{number % 2}", SERVICE, "t") for number in range(in_use)]
-    context.ledger.report_held(home, held, 0, context.now_s)
+    context.ledger.replace_held_slots(home, held, 0, context.now_s)
 
 
 @then('{first:d} slots of "e0" and {second:d} slots of "e1" are granted')
 def step_granted_by_endpoint(context, first, second):
-    granted = Counter(grant.endpoint for grant in decide(context))
+    granted = Counter(grant.endpoint for grant in grant_slots(context))
     assert (granted["e0"], granted["e1"]) == (first, second), granted
 
 
 @then("{expected:d} slots are granted")
 def step_granted(context, expected):
-    assert len(decide(context)) == expected, context.grants
+    assert len(grant_slots(context)) == expected, context.grants
 
 
 @then("the refusing endpoint gets no grant")
 def step_no_grant(context):
-    assert context.refusing not in [grant.endpoint for grant in decide(context)]
+    assert context.refusing not in [grant.endpoint for grant in grant_slots(context)]
 
 
 @then("the refusing endpoint gets {expected:d} grants")
 def step_some_grants(context, expected):
-    granted = [grant for grant in decide(context) if grant.endpoint == context.refusing]
+    granted = [grant for grant in grant_slots(context) if grant.endpoint == context.refusing]
     assert len(granted) == expected, granted
 
 
 @then('{first:d} slots go to team "{light}" and {second:d} slots to team "{heavy}"')
 def step_granted_by_team(context, first, light, second, heavy):
-    granted = Counter(grant.team for grant in decide(context))
+    granted = Counter(grant.team for grant in grant_slots(context))
     assert (granted[light], granted[heavy]) == (first, second), granted
--- a/tests/steps/place_ledger_steps.py
+++ b/tests/steps/place_ledger_steps.py
@@ -9,7 +9,7 @@
 from tests.support.place_world import POOL, SERVICE, make_configuration
 
 ISSUER, HOME = "holder", "home"
-BEGIN_S = 100.0
+START_S = 100.0
 STEP_S = 0.05
 MAX_STEPS = 100
 
@@ -20,20 +20,20 @@
     context.ledger = SlotLedger(ISSUER, POOL, "fd-a", count(1))
     context.ledger.configure(configuration.endpoints, configuration.services, {}, {})
     entry = DemandEntry(SERVICE, "team", (), waiting, 0.0)
-    context.ledger.update_demand(HOME, [entry], 0, BEGIN_S)
+    context.ledger.update_demand(HOME, [entry], 0, START_S)
 
 
 @when('the slot is granted and comes back "{result}"')
 def step_granted(context, result):
-    [granted] = context.ledger.decide(BEGIN_S)
+    [granted] = context.ledger.grant_slots(START_S)
     release = SlotRelease(ISSUER, granted.grant.sequence, "e0", SERVICE, result, 0.2)
-    context.ledger.release(release, BEGIN_S)
+    context.ledger.release(release, START_S)
 
 
 @then("the next grant comes after {pause:g} s")
 def step_next_grant(context, pause):
     for step in range(MAX_STEPS):
-        if context.ledger.decide(BEGIN_S + step * STEP_S):
+        if context.ledger.grant_slots(START_S + step * STEP_S):
             assert abs(step * STEP_S - pause) < STEP_S / 2, step * STEP_S
             return
     raise AssertionError("no grant came")
--- a/tests/steps/place_requester_steps.py
+++ b/tests/steps/place_requester_steps.py
@@ -46,7 +46,7 @@
 
 
 @when("the holder is out of reach for {duration:g} s")
-def step_out(context, duration):
+def step_unreachable(context, duration):
     context.holder_reachable = False
     context.requester.flush()
     context.now_s += duration
@@ -60,6 +60,6 @@
 
 
 @then("the holder was told of the task at least {count:d} times")
-def step_told_again(context, count):
-    told = [update for update in context.updates if update.entries]
-    assert len(told) >= count, len(told)
+def step_demand_repeated(context, count):
+    demand_updates = [update for update in context.updates if update.entries]
+    assert len(demand_updates) >= count, len(demand_updates)
--- a/tests/steps/place_spread_steps.py
+++ b/tests/steps/place_spread_steps.py
@@ -37,7 +37,7 @@
 
 @given('the holder in "{domain}" told costs of "{costs}"')
 @when('the holder in "{domain}" tells costs of "{costs}"')
-def step_told(context, domain, costs):
+def step_report_costs(context, domain, costs):
     costs_s = parse_costs(costs)
     slots = len(costs_s)
     context.spread.update_summary(
@@ -96,7 +96,7 @@
 
 
 @then('the grant tells costs of "{costs}"')
-def step_grant_tells(context, costs):
+def step_grant_reports_costs(context, costs):
     [grant] = [message for message in context.sent if isinstance(message, GrantSlots)]
     expected_s = parse_costs(costs)
     assert grant.summary.costs_s[: len(expected_s)] == expected_s, grant
--- a/tests/steps/place_steps.py
+++ b/tests/steps/place_steps.py
@@ -6,7 +6,7 @@
 
 from berylproxy.collect.job import DemandKey
 from berylproxy.place.schedule import EndpointForecast, SlotForecast
-from berylproxy.place.speed import RunTimeBook
+from berylproxy.place.speed import RunTimeEstimator
 
 SERVICE = "enquiry"
 KEY = DemandKey(SERVICE, "team")
@@ -15,12 +15,12 @@
 
 
 @given("an empty book of run times")
-def step_book(context):
-    context.run_times = RunTimeBook()
+def step_run_time_estimator(context):
+    context.run_times = RunTimeEstimator()
     context.expectations_s = []
 
 
-def learn(context, run_times_s):
+def add_run_times(context, run_times_s):
     """Adds run times of one endpoint and notes what is expected after each."""
     for run_time_s in run_times_s:
         context.run_times.add("e0", SERVICE, run_time_s)
@@ -31,20 +31,20 @@
     "{count:d} run times of {shortest:g} s and an exponential part of {mean:g} s are learnt "
     "with seed {seed:d}"
 )
-def step_learn_drawn(context, count, shortest, mean, seed):
+def step_add_random_run_times(context, count, shortest, mean, seed):
     random = Random(seed)
-    learn(context, [shortest + random.expovariate(1 / mean) for _ in range(count)])
+    add_run_times(context, [shortest + random.expovariate(1 / mean) for _ in range(count)])
 
 
 @when("{count:d} run times of {run_time:g} s are learnt")
-def step_learn_same(context, count, run_time):
-    learn(context, [run_time] * count)
+def step_add_equal_run_times(context, count, run_time):
+    add_run_times(context, [run_time] * count)
 
 
 @then("every expectation after the first {count:d} was within {percent:d} % of {expected:g} s")
 def step_within(context, count, percent, expected):
-    furthest_s = max(abs(each - expected) for each in context.expectations_s[count:])
-    assert furthest_s <= expected * percent / 100, furthest_s
+    largest_error_s = max(abs(each - expected) for each in context.expectations_s[count:])
+    assert largest_error_s <= expected * percent / 100, largest_error_s
 
 
 @then("the expected run time is above {bound:g} s")
--- a/tools/slopes.py
+++ b/tools/slopes.py
@@ -26,7 +26,7 @@
 
 from berylproxy.clock import MonotonicClock
 from berylproxy.collect.job import Job
-from berylproxy.deduplicate.claims import KEY_PREFIX, ClaimBook, hash_key
+from berylproxy.deduplicate.claims import KEY_PREFIX, ClaimRegistry, hash_key
 from berylproxy.models import DaemonIdentity, Outcome, Submission, Task, TaskResult
 from berylproxy.peers.codec import MessageCodec, NoticeFrame
 from berylproxy.place.holder import Holder
@@ -282,7 +282,7 @@
     def _ask(self, tasks: int) -> None:
         demand = [DemandEntry("s", "t", (), tasks, 0.0)]
         self._ledger.update_demand("home", demand, self._last_grant, self._now_s)
-        grants = [addressed.grant for addressed in self._ledger.decide(self._now_s)]
+        grants = [addressed.grant for addressed in self._ledger.grant_slots(self._now_s)]
         if grants:
             self._last_grant = grants[-1].sequence
         self._running += grants
@@ -390,7 +390,7 @@
 
 async def claim_steadily(store: MeteredStore, rate_per_s: int) -> None:
     """Claims keys at a rate for the window."""
-    book = ClaimBook(store, MonotonicClock())
+    book = ClaimRegistry(store, MonotonicClock())
     async with anyio.create_task_group() as group:
         for number in range(int(rate_per_s * CLAIM_WINDOW_S)):
             key_hash = hash_key("team", str(number))
