--- a/berylproxy/deduplicate/__init__.py
+++ b/berylproxy/deduplicate/__init__.py
@@ -1,1 +1,1 @@
-"""Finds the one home of a submission, so that its tasks start at most once."""
+"""Deduplication: finds the one home of a submission, so that its tasks start at most once."""
--- a/berylproxy/deduplicate/claims.py
+++ b/berylproxy/deduplicate/claims.py
@@ -1,9 +1,9 @@
-"""Idempotency keys of callers, claimed for a home with compare-and-swap in the store.
+"""Claims callers' idempotency keys for a home, with compare-and-swap in the store.
 
-Keys are hashed into buckets, each one value in the store. All claims of one bucket that come up
-while a write is on its way go into the next write, so the rate of writes is bounded by the number
-of buckets, not by the number of jobs. Safety rests on compare-and-swap alone; that the keys of one
-bucket are usually claimed by the same daemon only makes conflicts rare.
+Keys are hashed into buckets; each bucket is one value in the store. All claims of one bucket that
+arrive during a write are batched into the next write, so the rate of writes is bounded by the
+number of buckets, not by the number of jobs. Safety depends on compare-and-swap alone; claiming the
+keys of one bucket at the same daemon where possible only makes conflicts rare.
 """
 
 from collections.abc import Callable
@@ -26,7 +26,7 @@
 )
 
 BUCKET_COUNT = 32
-COMMIT_INTERVAL_S = 0.1  # of one bucket
+COMMIT_INTERVAL_S = 0.1  # minimum time between commits of one bucket
 CLAIM_RETENTION_S = 1_200.0  # longer than the longest job and the time to resubmit it
 CLAIM_TIMEOUT_S = 5.0
 RETRY_INTERVAL_S = 0.1
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """A key's claim.
+    """The identifier that an idempotency key is claimed for.
 
     :param job_id: the identifier that the key stands for.
     :param claimed_at_s: wall-clock time in whole seconds since 1970.
@@ -60,10 +60,12 @@
 
 @dataclass(slots=True, eq=False)
 class PendingClaim:
-    """A claim that waits for its write, or a search that waits for a read.
+    """A claim that waits for a write, or a lookup that waits for a read.
 
-    :param job_id: the identifier to claim the key for; empty for a search.
-    :param claim: what stands for the key, its own or an earlier one, once that is known.
+    :param job_id: the identifier to claim the key for; empty for a lookup.
+    :param claim: the key's claim once resolved, this one or an earlier one; ``None`` if a lookup
+        found none.
+    :param error: why the store could not resolve the claim, if it failed.
     """
 
     key_hash: bytes
@@ -76,7 +78,10 @@
 
 @dataclass(slots=True)
 class Bucket:
-    """One value of the store as last seen, and the claims on their way into it."""
+    """The last known value of one bucket in the store, and the claims to be added to it.
+
+    :param is_known: whether ``revision`` and ``claims`` are usable without reading the store.
+    """
 
     key: str
     revision: int = ABSENT_REVISION
@@ -88,9 +93,9 @@
 
 
 class ClaimRegistry:
-    """Claims keys for identifiers and finds the earlier claim of a key.
+    """Claims keys for identifiers and looks up earlier claims.
 
-    :param wall_time_s: seconds since 1970, which the daemons have in common.
+    :param wall_time_s: returns the wall-clock time in seconds since 1970, as all daemons see it.
     """
 
     def __init__(self, store: Store, clock: Clock, wall_time_s: Callable[[], float] = time) -> None:
@@ -102,17 +107,18 @@
     async def claim(self, key_hash: bytes, job_id: str) -> str:
         """Claims a key; returns the identifier that it stands for, the given or an earlier one.
 
-        :raises ClaimUnavailableError: if that can't be known now; nothing may be started then. The
-            claim may have been written, so that a later call with the key finds the identifier.
+        :raises ClaimUnavailableError: if the store cannot confirm the claim now. The caller must
+            not start the job then. The claim may have been written nevertheless; a later call
+            with the key then returns its identifier.
         """
         claim = await self._resolve(PendingClaim(key_hash, job_id))
-        assert claim is not None, "a claim ends with a claim or an error"
+        assert claim is not None, "a resolved claim has a claim or an error"
         return claim.job_id
 
     async def find(self, key_hash: bytes) -> str:
-        """Returns the identifier that a key stands for; empty if nobody had claimed it.
+        """Returns the identifier that a key stands for; empty if the key is not claimed.
 
-        :raises ClaimUnavailableError: if that can't be known now.
+        :raises ClaimUnavailableError: if the store cannot be read now.
         """
         claim = await self._resolve(PendingClaim(key_hash, ""))
         return claim.job_id if claim is not None else ""
@@ -132,8 +138,8 @@
                 bucket.pending.remove(pending)
         if pending.error is not None:
             raise ClaimUnavailableError(
-                "the key-value service can't tell whether the idempotency key is new",
-                hint="ask again with the same key, or use an id from POST /v1/job-ids",
+                "the key-value service cannot confirm whether the idempotency key is new",
+                hint="retry with the same key, or use an id from POST /v1/job-ids",
                 retry_after_s=UNAVAILABLE_RETRY_AFTER_S,
             ) from pending.error
         return pending.claim
@@ -157,9 +163,9 @@
         bucket.next_commit_s = self._clock.now_s() + COMMIT_INTERVAL_S
 
     async def _write(self, bucket: Bucket, batch: list[PendingClaim]) -> None:
-        """Repeats reading and writing until each claim of the batch is found in the store."""
+        """Reads and writes the bucket until the store has a claim for each key to be claimed."""
         if any(not pending.job_id for pending in batch):
-            bucket.is_known = False  # only a read or a write can tell that a key is new
+            bucket.is_known = False  # only a read or a write proves that a key is unclaimed
         while True:
             if not bucket.is_known:
                 await self._read(bucket)
@@ -174,7 +180,7 @@
                 bucket.is_known = False
                 continue
             except StoreOutcomeUnknownError:
-                # The next read tells whether the write took effect.
+                # The next read shows whether the write took effect.
                 bucket.is_known = False
                 await sleep(RETRY_INTERVAL_S)
                 continue
@@ -187,7 +193,12 @@
         bucket.is_known = True
 
     def _merge(self, bucket: Bucket, batch: list[PendingClaim]) -> dict[bytes, Claim] | None:
-        """Adds the batch's claims to the bucket's; ``None`` if it holds a claim for each."""
+        """Merges the batch's claims into the bucket's, without expired ones.
+
+        Returns ``None`` if the bucket has a claim for each key already.
+
+        :raises StoreUnavailableError: if the bucket has no room for the claims.
+        """
         now_s = self._wall_time_s()
         missing = [
             pending
--- a/berylproxy/deduplicate/errors.py
+++ b/berylproxy/deduplicate/errors.py
@@ -1,4 +1,4 @@
-"""Errors of finding a submission's home."""
+"""Errors of identifiers, idempotency keys and the search for a submission's home."""
 
 from berylproxy.errors import BerylproxyError
 from berylproxy.models import Outcome
@@ -7,7 +7,7 @@
 class DeduplicateError(BerylproxyError):
     """Base of this layer's errors.
 
-    :cvar outcome: what the caller is told.
+    :cvar outcome: outcome of the job that is reported to the caller.
     """
 
     code = "deduplicate_error"
@@ -15,7 +15,7 @@
 
 
 class IdentifierMalformedError(DeduplicateError):
-    """The text is no identifier of ours, or one that was never minted."""
+    """The text is not an identifier, or the identifier was never minted for the team."""
 
     code = "id_malformed"
 
@@ -27,14 +27,14 @@
 
 
 class IdentifierExpiredError(DeduplicateError):
-    """The identifier is too old: its submission may have run and been forgotten."""
+    """The identifier is too old: its submission may have run, and its record been dropped."""
 
     code = "id_expired"
     outcome = Outcome.UNKNOWN
 
 
 class AnswerEvictedError(DeduplicateError):
-    """The job has ended, and its answer had to make room for others."""
+    """The job has ended, and its answer has been evicted from memory."""
 
     code = "answer_evicted"
     outcome = Outcome.UNKNOWN
@@ -48,23 +48,23 @@
 
 
 class HomeUnreachableError(DeduplicateError):
-    """The home of the submission can't be reached now: its tasks may have run."""
+    """The home of the submission cannot be reached now: its tasks may have run."""
 
     code = "home_unreachable"
     outcome = Outcome.UNKNOWN
 
 
 class JobNotFoundError(DeduplicateError):
-    """No job of the asking team is known under the identifier; its submission may still arrive."""
+    """The team has no job with the identifier; its submission may still arrive."""
 
     code = "job_not_found"
     outcome = Outcome.UNKNOWN
 
 
 class ClaimUnavailableError(DeduplicateError):
-    """The platform's key-value service can't tell whether the idempotency key is new.
+    """The platform's key-value service cannot confirm whether the idempotency key is new.
 
-    Nothing is started, but an earlier submission under the key may have run.
+    No task is started, but an earlier submission with the key may have run.
     """
 
     code = "claim_unavailable"
--- a/berylproxy/deduplicate/identifiers.py
+++ b/berylproxy/deduplicate/identifiers.py
@@ -1,8 +1,9 @@
-"""Identifiers that name the one daemon that may run a submission.
+"""Job identifiers, which name the one daemon process that may run a submission.
 
-An identifier is ``<incarnation>-<sequence>-<proof>``. The incarnation names one run of one daemon,
-so no other process, and no later run of the same daemon, ever starts the tasks of that submission.
-The proof binds it to the team that it was minted for, so that no other team can use it up.
+An identifier is ``<incarnation>-<sequence>-<proof>``. The incarnation names one process of one
+daemon, so no other process, and no later one of the same daemon, ever starts the submission's
+tasks. The proof binds the identifier to the team that it was minted for, so that no other team can
+use it up.
 """
 
 import re
@@ -24,8 +25,8 @@
     """A parsed identifier.
 
     :param incarnation: the home's incarnation.
-    :param sequence: the number that the home gave it.
-    :param proof: what binds it to its team.
+    :param sequence: number of the identifier among those minted by the home.
+    :param proof: keyed hash that binds the identifier to its team.
     """
 
     incarnation: str
@@ -34,7 +35,7 @@
 
 
 def parse_identifier(text: str) -> JobIdentifier | None:
-    """Parses an identifier; ``None`` if it is not one.
+    """Parses an identifier; returns ``None`` if the text is not one.
 
     Example::
 
@@ -47,10 +48,10 @@
 
 
 class IdentifierMint:
-    """Mints identifiers and knows which may still be used for the first time.
+    """Mints identifiers and checks which may still be used for the first time.
 
     :param incarnation: the incarnation of this daemon.
-    :param valid_for_s: how long an identifier may be used for the first time.
+    :param valid_for_s: time after minting during which an identifier may be used first.
     """
 
     def __init__(self, incarnation: str, clock: Clock, valid_for_s: float) -> None:
@@ -63,19 +64,19 @@
         self._blocks: deque[tuple[float, int]] = deque()  # (minted at, first sequence)
 
     def mint(self, count: int, team: str) -> list[str]:
-        """Mints a block of identifiers for a team."""
+        """Mints a block of ``count`` identifiers for a team."""
         first = self._last_sequence + 1
         self._last_sequence += count
         self._blocks.append((self._clock.now_s(), first))
         return [self._format(sequence, team) for sequence in range(first, first + count)]
 
     def is_usable(self, sequence: int) -> bool:
-        """Tells whether the number was minted here, and not so long ago that its use is over."""
+        """Returns whether the number was minted here and may still be used for the first time."""
         self._expire_blocks()
         return self._oldest_valid_sequence <= sequence <= self._last_sequence
 
     def was_minted(self, identifier: JobIdentifier, team: str) -> bool:
-        """Tells whether the identifier was ever minted here for the team."""
+        """Returns whether the identifier was ever minted here for the team."""
         is_in_range = 1 <= identifier.sequence <= self._last_sequence
         return is_in_range and compare_digest(
             identifier.proof, self._compute_proof(identifier.sequence, team)
--- a/berylproxy/deduplicate/messages.py
+++ b/berylproxy/deduplicate/messages.py
@@ -1,4 +1,4 @@
-"""Messages between the daemon that a caller reached and the home of its submission."""
+"""Messages between the entry daemon of a caller's request and the home of its submission."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SubmitJob:
-    """Hands a submission to its home and waits for the answer.
+    """Submits a job to its home and waits for the answer.
 
     :param wait_s: how long the home may wait for the job's end before it replies.
     """
@@ -18,9 +18,10 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchJob:
-    """Asks a home for a job's answer.
+    """Requests a job's answer from its home.
 
-    :param team: the asking team; a job of another team is not told.
+    :param team: the requesting team; jobs of other teams are reported as not found.
+    :param wait_s: how long the home may wait for the job's end before it replies.
     """
 
     job_id: str
@@ -30,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelJob:
-    """Asks a home to give a job up."""
+    """Requests that the home cancel a job."""
 
     job_id: str
     team: str
@@ -38,9 +39,9 @@
 
 @dataclass(frozen=True, slots=True)
 class JobState:
-    """A job as its home sees it.
+    """State of a job at its home.
 
-    :param answer: ``None`` while the job runs.
+    :param answer: the job's answer; ``None`` until the job has finished.
     """
 
     job_id: str
--- a/berylproxy/deduplicate/registry.py
+++ b/berylproxy/deduplicate/registry.py
@@ -1,4 +1,4 @@
-"""The jobs that this daemon is the home of."""
+"""Registry of the jobs whose home this daemon is."""
 
 from collections import Counter, OrderedDict
 from dataclasses import dataclass
@@ -17,11 +17,14 @@
 from berylproxy.models import Submission
 
 MAX_RETAINED_ANSWER_BYTES = 32 * 1024 * 1024
-ANY_CONTENT = b""  # digest of a job that was cancelled before its content arrived
+ANY_CONTENT = b""  # digest of a job that was cancelled before its submission arrived
 
 
 def digest_submission(submission: Submission) -> bytes:
-    """Hashes what makes two submissions the same: team, service, mark and tasks."""
+    """Hashes the content by which submissions are compared.
+
+    This is the team, the service, whether the job is repeatable, and the tasks.
+    """
     digest = sha256()
     header = (submission.team, submission.service, submission.repeatable, len(submission.tasks))
     digest.update(repr(header).encode())
@@ -34,17 +37,17 @@
 
 @dataclass(frozen=True, slots=True)
 class RegisteredJob:
-    """A job and the digest of its content."""
+    """A job and the digest of its submission's content."""
 
     job: Job
     digest: bytes
 
 
 class JobRegistry:
-    """Remembers each submission from its first arrival until its answer has been kept long enough.
+    """Holds each job from the arrival of its submission until its answer is evicted.
 
-    :param retention_s: how long an answer is kept.
-    :param max_kept_bytes: how much all kept answers may take; the oldest go first.
+    :param retention_s: how long an answer is retained.
+    :param max_retained_bytes: maximum size of all retained answers; the oldest are evicted first.
     """
 
     def __init__(
@@ -68,21 +71,22 @@
         return len(self._jobs)
 
     def register(self, submission: Submission, timeout_s: float) -> tuple[Job, bool]:
-        """Finds the submission's job or makes it; tells whether it is new.
+        """Finds or creates the submission's job; returns the job and whether it is new.
 
-        :param timeout_s: time from now after which a new job is given up on.
+        :param timeout_s: time from now until the deadline of a new job.
 
-        :raises IdentifierReusedError: if the identifier stands for other content.
-        :raises IdentifierExpiredError: if it was minted too long ago to be used first now.
-        :raises IdentifierMalformedError: if it was never minted here.
+        :raises IdentifierReusedError: if the identifier was used for other content.
+        :raises AnswerEvictedError: if the job has ended and its answer was evicted.
+        :raises IdentifierExpiredError: if the identifier is too old for a first use.
+        :raises IdentifierMalformedError: if the identifier was never minted here for the team.
         """
         digest = digest_submission(submission)
         registered = self._jobs.get(submission.job_id)
         if registered is not None and registered.job.submission.team == submission.team:
             if registered.digest not in (digest, ANY_CONTENT):
                 raise IdentifierReusedError(
-                    f"id {submission.job_id} stands for a submission with other content",
-                    hint="take a new id for new content",
+                    f"id {submission.job_id} was used for a submission with other content",
+                    hint="use a new id for new content",
                 )
             return registered.job, False
         self._check_first_use(submission.job_id, submission.team)
@@ -91,12 +95,13 @@
         return job, True
 
     def cancel_before_submission(self, job_id: str, team: str) -> Job | None:
-        """Uses an identifier up before its submission has arrived, which then won't run.
+        """Cancels a job before its submission has arrived, so that the submission will not run.
 
-        Returns ``None`` if a submission has arrived.
+        Returns ``None`` if the submission has arrived already.
 
-        :raises IdentifierExpiredError: if it may have run and been forgotten.
-        :raises IdentifierMalformedError: if the identifier was never minted here.
+        :raises AnswerEvictedError: if the job has ended and its answer was evicted.
+        :raises IdentifierExpiredError: if the identifier is too old: its job may have run.
+        :raises IdentifierMalformedError: if the identifier was never minted here for the team.
         """
         if job_id in self._jobs:
             return None
@@ -109,26 +114,28 @@
         return job
 
     def find(self, job_id: str, team: str) -> Job:
-        """Finds a team's job by its identifier.
+        """Returns a team's job by its identifier.
 
-        :raises IdentifierExpiredError: if it may have run and been forgotten.
-        :raises JobNotFoundError: if no submission has arrived under it.
+        :raises AnswerEvictedError: if the job has ended and its answer was evicted.
+        :raises IdentifierExpiredError: if the identifier is too old: its job may have run.
+        :raises IdentifierMalformedError: if the identifier was never minted here for the team.
+        :raises JobNotFoundError: if no submission with the identifier has arrived.
         """
         registered = self._jobs.get(job_id)
         if registered is not None and registered.job.submission.team == team:
             return registered.job
         self._check_first_use(job_id, team)
-        raise JobNotFoundError(f"no job {job_id}", hint="submit it under this id")
+        raise JobNotFoundError(f"no job {job_id}", hint="submit the job with this id")
 
     def note_finished(self, job: Job) -> None:
-        """Starts the time for which the answer is kept."""
+        """Records that a job has finished and starts the retention time of its answer."""
         job.drop_tasks()
         self._finished[job.job_id] = job.finished_s
         self._retained_bytes += job.answer_bytes
         self.finished_jobs[job.answer.outcome.value] += 1
 
     def evict_old_jobs(self) -> None:
-        """Evicts answers kept for the retention time, and the oldest ones beyond the bound."""
+        """Evicts answers past the retention time, and the oldest ones beyond the size limit."""
         oldest_retained_s = self._clock.now_s() - self._retention_s
         oldest_usable_s = self._clock.now_s() - self._mint.valid_for_s
         while self._finished:
@@ -139,12 +146,12 @@
             del self._finished[job_id]
             self._retained_bytes -= self._jobs.pop(job_id).job.answer_bytes
             self._evicted[job_id] = finished_s
-        # An identifier that can still be used first must not be taken for a new one.
+        # The identifier of an evicted job is remembered for as long as it could pass as unused.
         while self._evicted and next(iter(self._evicted.values())) < oldest_usable_s:
             self._evicted.popitem(last=False)
 
     def list_undelivered(self) -> list[Job]:
-        """Lists the jobs whose answer nobody has fetched yet."""
+        """Lists the jobs whose answer has not been delivered to a caller yet."""
         return [
             registered.job
             for registered in self._jobs.values()
@@ -162,12 +169,12 @@
         if identifier is None or not self._mint.was_minted(identifier, team):
             raise IdentifierMalformedError(
                 f"id {job_id} was not minted here for this team",
-                hint="take ids from POST /v1/job-ids",
+                hint="request ids from POST /v1/job-ids",
             )
         if job_id in self._evicted:
-            raise AnswerEvictedError(f"job {job_id} has ended, its answer is not kept any more")
+            raise AnswerEvictedError(f"job {job_id} has ended, its answer is no longer retained")
         if not self._mint.is_usable(identifier.sequence):
             raise IdentifierExpiredError(
                 f"id {job_id} is too old to be used: its submission may have run",
-                hint="find out at the endpoint's owner before submitting again under a new id",
+                hint="check with the endpoint's owner before submitting again with a new id",
             )
--- a/berylproxy/deduplicate/router.py
+++ b/berylproxy/deduplicate/router.py
@@ -1,4 +1,4 @@
-"""Brings a submission, wherever it arrives, to its home, and the answer back."""
+"""Routes submissions from the entry daemon to their home, and the answers back."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import replace
@@ -32,13 +32,13 @@
 HOME_RETRY_INTERVAL_S = 0.2
 HOME_REPLY_MARGIN_S = 2.0
 UNREACHABLE_RETRY_AFTER_S = 2.0
-HOME_GONE_AFTER_S = 10.0  # a dead home is not waited for any longer, though it may be cut off
+HOME_GONE_AFTER_S = 10.0  # a home dead for longer counts as ended, although it may be partitioned
 
 Message = TypeVar("Message", SubmitJob, FetchJob, CancelJob)
 
 
 def make_refusal(job_id: str, error: BerylproxyError, outcome: Outcome) -> JobAnswer:
-    """Makes the answer that tells an error."""
+    """Makes the answer of a job that ends with an error."""
     return JobAnswer(job_id, outcome, error.code, error.message, error.hint, error.retry_after_s)
 
 
@@ -56,14 +56,14 @@
 
 
 class JobRouter:
-    """Serves jobs whose home is here and forwards to the home otherwise.
+    """Serves jobs whose home is this daemon and forwards all others to their home.
 
-    Only the home named by the identifier ever starts the tasks, so a message to it may be repeated
-    over a new stream: the home finds the job that it already knows.
+    Only the home named by the identifier ever starts the tasks, so a message to the home may be
+    repeated over a new stream: the home finds the job that it has registered.
 
-    :param check_admission: raises if a submission would be refused now.
-    :param submit: takes a submission at its home.
-    :param cancel: gives a job up at its home.
+    :param check_admission: raises an error if a submission would be refused now.
+    :param submit: accepts a submission at its home.
+    :param cancel: cancels a job at its home.
     """
 
     def __init__(
@@ -97,7 +97,7 @@
     async def submit(self, submission: Submission, wait_s: float) -> JobState:
         """Submits to the home; returns the job's state after its end or after ``wait_s``.
 
-        A refusal, and a home that can't be asked, are told as the job's answer.
+        A refusal and an unreachable home are reported as the job's answer.
         """
         if not submission.job_id and submission.idempotency_key:
             return await self._submit_keyed(submission, wait_s)
@@ -112,7 +112,7 @@
         return await self._route(job_id, CancelJob(job_id, team), 0.0)
 
     async def handle(self, message: Message) -> JobState:
-        """Serves a message at the home; errors become the answer."""
+        """Serves a message at the job's home; an error is returned as the job's answer."""
         try:
             return await self._serve(message)
         except BerylproxyError as error:
@@ -138,10 +138,10 @@
                     job = self._registry.find(job_id, team)
                     self._cancel(job)
                 return await self._wait(job, 0.0)
-        raise TypeError(f"{type(message).__name__} is not a message about jobs")
+        raise TypeError(f"{type(message).__name__} is not a job message")
 
     async def _submit_keyed(self, submission: Submission, wait_s: float) -> JobState:
-        """Hands the submission to the daemon that usually claims the keys of its bucket."""
+        """Sends the submission to the daemon that usually claims the keys of its bucket."""
         bucket = choose_bucket(hash_key(submission.team, submission.idempotency_key))
         claimant = choose_claimant(bucket, self._incarnation, self._network.members())
         message = SubmitJob(submission, wait_s)
@@ -149,7 +149,7 @@
             try:
                 return await self._request(claimant, message, wait_s + HOME_REPLY_MARGIN_S)
             except PeerError:
-                pass  # the claim in the store keeps two daemons from starting it both
+                pass  # the claim in the store keeps two daemons from both starting the job
         return await self.handle(message)
 
     async def _claim(self, submission: Submission, wait_s: float) -> JobState:
@@ -157,8 +157,8 @@
         try:
             self._check_admission(submission)
         except BerylproxyError:
-            # Refused before it is claimed, so that the key can be used later; but "not run" is only
-            # true of a key that stands for nothing yet.
+            # Refused before its key is claimed, so that the key can be used later. The outcome
+            # "not run" is true only if the key has not been claimed by an earlier submission.
             job_id = await self._claims.find(key_hash)
             if not job_id:
                 raise
@@ -174,7 +174,7 @@
         try:
             if identifier is None:
                 raise IdentifierMalformedError(
-                    f"{job_id[:64]!r} is not an id", hint="take ids from POST /v1/job-ids"
+                    f"{job_id[:64]!r} is not an id", hint="request ids from POST /v1/job-ids"
                 )
             return await self._forward(identifier.incarnation, message, wait_s)
         except DeduplicateError as error:
@@ -188,13 +188,13 @@
             if remaining_s <= 0:
                 raise HomeUnreachableError(
                     "the job's home does not answer: its tasks may have run",
-                    hint="ask again under the same id",
+                    hint="retry with the same id",
                     retry_after_s=UNREACHABLE_RETRY_AFTER_S,
                 )
             try:
                 return await self._request(home, message, remaining_s)
             except PeerError:
-                # The stream may come back, and the home finds the job by its identifier.
+                # The stream may be re-established; the home finds the job by its identifier.
                 await sleep(HOME_RETRY_INTERVAL_S)
 
     async def _request(self, incarnation: str, message: Message, timeout_s: float) -> JobState:
@@ -216,14 +216,14 @@
                 break
             if is_dead:
                 raise HomeUnreachableError(
-                    "the job's home can't be reached: its tasks may have run",
-                    hint="ask again under the same id",
+                    "the job's home cannot be reached: its tasks may have run",
+                    hint="retry with the same id",
                     retry_after_s=UNREACHABLE_RETRY_AFTER_S,
                 )
             return
         raise HomeGoneError(
-            "the job's home has ended or is not known here: its tasks may have run",
-            hint="submit again under a new id only if running twice does no harm",
+            "the job's home has ended or is unknown to this daemon: its tasks may have run",
+            hint="submit again with a new id only if running the tasks twice does no harm",
         )
 
     async def _wait(self, job: Job, wait_s: float) -> JobState:
--- a/berylproxy/pipeline.py
+++ b/berylproxy/pipeline.py
@@ -1,4 +1,4 @@
-"""Joins the filters at a submission's home: deduplicate, waiting, place, send, collect."""
+"""Connects the stages of the task pipeline: deduplicate, waiting, place, send and collect."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -36,10 +36,10 @@
 
 
 class Pipeline:
-    """The path of tasks at one daemon, as a home and as a holder of slots.
+    """The pipeline of tasks of one daemon, in its roles as a home and as a holder of slots.
 
     :param notify: sends a message without reply to another daemon, by incarnation.
-    :param is_reachable: tells whether there is a stream to another daemon.
+    :param is_reachable: returns whether there is a stream to another daemon, by incarnation.
     """
 
     def __init__(
@@ -85,25 +85,25 @@
 
     @property
     def waiting_tasks(self) -> int:
-        """How many tasks wait for a slot."""
+        """Number of tasks that wait for a slot."""
         return len(self._queue)
 
     @property
     def retained_jobs(self) -> int:
-        """How many jobs are in memory, finished ones included."""
+        """Number of jobs in memory, finished ones included."""
         return len(self._registry)
 
     @property
     def running_tasks(self) -> int:
-        """How many tasks are at endpoints."""
+        """Number of tasks that have been sent to endpoints and have not ended."""
         return self._dispatcher.in_flight
 
     def count_sent_messages(self) -> Counter[str]:
-        """Counts the messages about slots that went to other daemons, by their type."""
+        """Returns the number of slot messages sent to other daemons, by message type."""
         return self._sent_messages
 
     def count_wasted_messages(self) -> dict[str, int]:
-        """Counts the messages that carried no useful work, by kind."""
+        """Returns the number of messages that carried no useful work, by kind."""
         return {
             "unused_grant": self.requester.unused_grants,
             "ignored_grant": self.requester.ignored_grants,
@@ -112,15 +112,15 @@
         }
 
     def count_finished_jobs(self) -> Counter[str]:
-        """Counts the jobs that have finished here, by outcome."""
+        """Returns the number of jobs that have finished at this daemon, by outcome."""
         return self._registry.finished_jobs
 
     def count_task_sends(self) -> Counter[str]:
-        """Counts the tasks sent to endpoints, by how the use of the slot ended."""
+        """Returns the number of tasks sent to endpoints, by the result of the slot's use."""
         return self._dispatcher.sends
 
     def configure(self, configuration: Configuration) -> None:
-        """Takes a new configuration."""
+        """Applies a new configuration to all stages."""
         self._configuration = configuration
         self.admission.configure(configuration)
         self._dispatcher.configure(configuration)
@@ -129,18 +129,18 @@
         self._wake()
 
     def update_members(self, live: list[DaemonIdentity]) -> None:
-        """Takes the daemons that live and are not leaving."""
+        """Applies the list of live daemons that are not leaving."""
         self.holder.update_members(live)
         self.requester.update_members(live)
         self._wake()
 
     def forget_home(self, incarnation: str) -> None:
-        """A daemon has died."""
+        """Drops the demand of a dead daemon; its slots stay in use while its tasks may run."""
         self.holder.forget_home(incarnation)
         self._wake()
 
     def receive(self, sender: str, message: object) -> None:
-        """Takes a message about slots from a daemon, this one included."""
+        """Handles a slot message from a daemon, this one included."""
         self._pause.note_run()
         match message:
             case UpdateDemand():
@@ -154,11 +154,11 @@
         self._wake()
 
     def submit(self, submission: Submission) -> Job:
-        """Takes a submission whose home this daemon is; returns its job, new or known.
+        """Accepts a submission whose home is this daemon; returns its new or existing job.
 
-        A job that is refused is finished at once.
+        A job that admission control refuses is finished at once, with the refusal as its answer.
 
-        :raises DeduplicateError: if the identifier can't be used.
+        :raises DeduplicateError: if the identifier cannot be used.
         """
         job, is_new = self._registry.register(
             submission, self.admission.resolve_timeout_s(submission)
@@ -168,7 +168,7 @@
         try:
             self.admission.check(submission)
         except AdmissionError as error:
-            # Final for this id: another copy of the submission must not run after this refusal.
+            # The refusal is final for this id: a retry of the submission must not run after it.
             job.refuse(error, self._clock.now_s())
             self._registry.note_finished(job)
             return job
@@ -179,11 +179,11 @@
         return job
 
     def cancel(self, job: Job) -> None:
-        """Gives a job up at the caller's wish."""
+        """Cancels a job at its caller's request."""
         job.cancel(self._clock.now_s())
 
     async def run(self, task_group: TaskGroup) -> None:
-        """Moves tasks and messages on until cancelled."""
+        """Processes waiting tasks and slot messages until cancelled."""
         self._task_group = task_group
         self._dispatcher.bind(task_group)
         task_group.start_soon(self._tick)
@@ -194,9 +194,12 @@
                 self._flush()
 
     async def wait_until_idle(self, timeout_s: float) -> bool:
-        """Waits until every job is finished and its answer fetched; tells whether that came about.
+        """Waits until all jobs have finished and their answers have been delivered.
 
-        An answer that nobody fetches is waited for a bounded time.
+        As a caller may never fetch its answer, undelivered answers are waited for at most
+        :data:`UNDELIVERED_TIMEOUT_S`.
+
+        :returns: whether the wait ended within ``timeout_s``.
         """
         with move_on_after(timeout_s):
             while jobs := self._registry.list_unfinished():
@@ -234,7 +237,8 @@
 
     def _start_task(self, run: TaskRun, slot: HeldSlot) -> None:
         if self._pause.is_refreshing:
-            # Granted before a pause of this process: the endpoint may have begun to leave since.
+            # The slot was granted before this process was paused. The endpoint may have started
+            # to leave since, so the slot is released unused and the task waits for another one.
             self.requester.release(slot, SlotResult.UNUSED)
             self._requeue(run)
         else:
