--- a/tests/steps/claims_steps.py
+++ b/tests/steps/claims_steps.py
@@ -1,4 +1,4 @@
-"""Steps for idempotency keys."""
+"""Steps for claims of idempotency keys in a store."""
 
 from random import Random
 
@@ -13,7 +13,7 @@
 KEY = hash_key("team", "key")
 
 
-@given("two claim books over one store in memory")
+@given("two claim registries over one in-memory store")
 def step_claim_registries(context):
     context.claim_store = MemoryStore()
     context.wall_time_s = 1_000_000.0
@@ -61,8 +61,8 @@
     context.claim_store.set_outage(True)
 
 
-@when('the {name} book claims a key for "{job_id}"')
-@when('the {name} book claims the same key for "{job_id}"')
+@when('the {name} registry claims a key for "{job_id}"')
+@when('the {name} registry claims the same key for "{job_id}"')
 def step_claim(context, name, job_id):
     try:
         context.claimed.append(run(context.claim_registries[name].claim, KEY, job_id))
@@ -70,10 +70,10 @@
         context.claim_error = error
 
 
-@when("the {name} book searches for the key")
-def step_search(context, name):
-    context.searched = [
-        *getattr(context, "searched", []),
+@when("the {name} registry looks up the key")
+def step_lookup(context, name):
+    context.lookups = [
+        *getattr(context, "lookups", []),
         run(context.claim_registries[name].find, KEY),
     ]
 
@@ -110,6 +110,6 @@
     assert (context.claim_error.code, context.claim_error.outcome) == (code, outcome)
 
 
-@then('the searches found "" and "{job_id}"')
-def step_searches(context, job_id):
-    assert context.searched == ["", job_id], context.searched
+@then('the lookups found "" and "{job_id}"')
+def step_lookups(context, job_id):
+    assert context.lookups == ["", job_id], context.lookups
--- a/tests/steps/keys_steps.py
+++ b/tests/steps/keys_steps.py
@@ -1,4 +1,4 @@
-"""Steps for callers' own idempotency keys at real daemons."""
+"""Steps for jobs that are submitted to real daemons with an idempotency key."""
 
 from concurrent.futures import ThreadPoolExecutor
 
@@ -9,7 +9,7 @@
 
 
 def send_job(context, daemon: int):
-    """Sends the present job under the present key."""
+    """Sends the context's job with the context's key."""
     return context.cluster.client.post(
         f"{context.cluster.url(daemon)}/v1/jobs",
         json={"service": SERVICE, "tasks": context.tasks},
@@ -20,7 +20,7 @@
 def prepare_job(
     context, key: str, count: int, shortest_s: float, longest_s: float, seed: int
 ) -> None:
-    """Makes the job that the next steps send."""
+    """Creates the job and key that the next steps send."""
     context.key = key
     context.tasks = make_tasks(count, shortest_s, longest_s, seed)
 
@@ -58,12 +58,12 @@
     context.job_id = context.responses[0].json()["id"]
 
 
-@when("the platform's store is out")
+@when("the platform's store is unavailable")
 def step_store_out(context):
     context.cluster.control(context.cluster.store, outage=True)
 
 
-@when("the platform's store is back")
+@when("the platform's store is available again")
 def step_store_back(context):
     context.cluster.control(context.cluster.store, outage=False)
 
@@ -83,17 +83,17 @@
             for peer in context.cluster.read_status(live_daemon)["peers"]
             if peer["status"] == "dead"
         ],
-        "the home is held for dead",
+        "the home is considered dead",
     )
 
 
-@when("the job is sent to a living daemon under the same key again")
+@when("the job is sent to a live daemon under the same key again")
 def step_send_to_live_daemon(context):
     live_daemon = (context.killed + 1) % len(context.cluster.daemons)
     context.responses = [send_job(context, live_daemon)]
 
 
-@then("every answer under the key is the same and whole")
+@then("every answer under the key is the same and complete")
 def step_same(context):
     answers = [response.json() for response in context.responses]
     check_whole(answers[0], context.tasks)
--- a/tests/steps/ledger_steps.py
+++ b/tests/steps/ledger_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the pure placement logic, with the time given by hand."""
+"""Steps for the ledger of a slot group, with the time set by the steps."""
 
 from collections import Counter
 from itertools import count
@@ -14,12 +14,12 @@
 
 
 def make_endpoint(name: str, slots: int) -> Endpoint:
-    """Makes an endpoint of the ledger's group."""
+    """Creates an endpoint of the ledger's group."""
     return Endpoint(name, "p", "http://127.0.0.1:1", slots, 64, {}, "o", "o", "fd", False)
 
 
 def configure(context) -> None:
-    """Hands the configuration to the ledger."""
+    """Applies the endpoints and teams of the context to the ledger."""
     service = Service(SERVICE, ("p",), 30.0, 0.3, 1000, False, 10.0)
     quotas = {name: team.max_running_tasks for name, team in context.teams.items()}
     context.ledger.configure(context.endpoints, {SERVICE: service}, context.teams, quotas)
@@ -28,14 +28,14 @@
 def update_demand(
     context, home: str, waiting: int, team: str = "t", last_grant: int | None = None
 ) -> None:
-    """Registers demand; by default the home has seen all grants."""
+    """Updates a home's demand; by default the home has received all grants."""
     seen = context.last_grant if last_grant is None else last_grant
     entry = DemandEntry(SERVICE, team, (), waiting, 0.0)
     context.ledger.update_demand(home, [entry], seen, context.now_s)
 
 
 def grant_slots(context) -> list:
-    """Takes the ledger's decision and remembers its grants."""
+    """Lets the ledger grant slots and records the grants."""
     addressed = context.ledger.grant_slots(context.now_s)
     context.grants = [grant.grant for grant in addressed]
     if context.grants:
@@ -44,7 +44,7 @@
 
 
 def release(context, grant, result: str, run_time_s: float = 0.3) -> None:
-    """Gives a slot back."""
+    """Releases a slot with the result of its use."""
     context.ledger.release(
         SlotRelease(ISSUER, grant.sequence, grant.endpoint, SERVICE, result, run_time_s),
         context.now_s,
@@ -79,25 +79,25 @@
     context.ledger.run_times.add(slow, SERVICE, slow_s)
 
 
-@when('home "{home}" asks for {waiting:d} slots for team "{team}"')
+@when('home "{home}" requests {waiting:d} slots for team "{team}"')
 def step_request_slots_for_team(context, home, waiting, team):
     update_demand(context, home, waiting, team)
 
 
-@when('home "{home}" asks for {waiting:d} slots')
-@when('home "{home}" asks for {waiting:d} slot')
+@when('home "{home}" requests {waiting:d} slots')
+@when('home "{home}" requests {waiting:d} slot')
 def step_request_slots(context, home, waiting):
     update_demand(context, home, waiting)
 
 
-@when('the slot is given back as "{result}"')
+@when('the slot is released as "{result}"')
 def step_release(context, result):
     (grant,) = grant_slots(context)
     context.refusing = grant.endpoint
     release(context, grant, result)
 
 
-@when("{tasks:d} tasks one after another are done there")
+@when("{tasks:d} tasks succeed there one after another")
 def step_finish_tasks(context, tasks):
     for _ in range(tasks):
         for grant in context.grants:
@@ -123,12 +123,12 @@
     context.now_s += seconds
 
 
-@when('home "{home}" repeats that it waits for {waiting:d} tasks without having seen a grant')
+@when('home "{home}" reports {waiting:d} waiting tasks again without having received a grant')
 def step_repeat_unseen(context, home, waiting):
     update_demand(context, home, waiting, last_grant=0)
 
 
-@when('home "{home}" repeats that it waits for {waiting:d} tasks after having seen both grants')
+@when('home "{home}" reports {waiting:d} waiting tasks again after having received both grants')
 def step_repeat_seen(context, home, waiting):
     update_demand(context, home, waiting)
 
--- a/tests/steps/place_ledger_steps.py
+++ b/tests/steps/place_ledger_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the ledger of slots."""
+"""Steps for a ledger of slots with one endpoint and one home."""
 
 from itertools import count
 
@@ -23,7 +23,7 @@
     context.ledger.update_demand(HOME, [entry], 0, START_S)
 
 
-@when('the slot is granted and comes back "{result}"')
+@when('the slot is granted and released as "{result}"')
 def step_granted(context, result):
     [granted] = context.ledger.grant_slots(START_S)
     release = SlotRelease(ISSUER, granted.grant.sequence, "e0", SERVICE, result, 0.2)
--- a/tests/steps/place_requester_steps.py
+++ b/tests/steps/place_requester_steps.py
@@ -1,4 +1,4 @@
-"""Steps for what a home tells the holders of slots."""
+"""Steps for the demand and reports that a home sends to the holders of slots."""
 
 from types import SimpleNamespace
 
@@ -31,21 +31,21 @@
     context.requester.configure(make_configuration({"e0": 1}))
 
 
-@when("a task comes to wait at the home")
+@when("a task starts to wait at the home")
 def step_task(context):
     task = Task("t1", b"", "", {})
     job = Job(Submission("j", "", "team", SERVICE, (task,), 30.0, False, ""), context.now_s, 30.0)
     context.queue.push(job.runs[0])
 
 
-@when("{duration:g} s pass with a decision every {interval:g} s")
-def step_pass(context, duration, interval):
+@when("{duration:g} s pass with a flush every {interval:g} s")
+def step_pass_with_flushes(context, duration, interval):
     for _ in range(round(duration / interval)):
         context.requester.flush()
         context.now_s += interval
 
 
-@when("the holder is out of reach for {duration:g} s")
+@when("the holder is unreachable for {duration:g} s")
 def step_unreachable(context, duration):
     context.holder_reachable = False
     context.requester.flush()
@@ -53,13 +53,13 @@
     context.holder_reachable = True
 
 
-@then("{count:d} updates went to the holder, all with the slots in use")
+@then("{count:d} updates were sent to the holder, all with the slots in use")
 def step_updates(context, count):
     assert len(context.updates) == count, len(context.updates)
     assert all(update.held is not None for update in context.updates)
 
 
-@then("the holder was told of the task at least {count:d} times")
+@then("the holder received demand for the task at least {count:d} times")
 def step_demand_repeated(context, count):
     demand_updates = [update for update in context.updates if update.entries]
     assert len(demand_updates) >= count, len(demand_updates)
--- a/tests/steps/place_spread_steps.py
+++ b/tests/steps/place_spread_steps.py
@@ -1,4 +1,4 @@
-"""Steps for how homes divide their demand, and for what holders tell them."""
+"""Steps for the division of a home's demand among holders, and for the holders' summaries."""
 
 from types import SimpleNamespace
 
@@ -25,7 +25,7 @@
 
 
 def parse_costs(text):
-    """Reads numbers with commas between."""
+    """Parses numbers separated by commas."""
     return tuple(float(cost) for cost in text.split(","))
 
 
@@ -35,8 +35,8 @@
     context.spread.configure({SERVICE: [SlotGroup(POOL, first), SlotGroup(POOL, second)]})
 
 
-@given('the holder in "{domain}" told costs of "{costs}"')
-@when('the holder in "{domain}" tells costs of "{costs}"')
+@given('the holder in "{domain}" reported costs of "{costs}"')
+@when('the holder in "{domain}" reports costs of "{costs}"')
 def step_report_costs(context, domain, costs):
     costs_s = parse_costs(costs)
     slots = len(costs_s)
@@ -51,11 +51,13 @@
     context.spread.balance(KEY, count)
 
 
-@then('{first:d} tasks are asked for in "{domain}" and {second:d} in "{other}"')
-@then('{first:d} task is asked for in "{domain}" and {second:d} in "{other}"')
-def step_asked(context, first, domain, second, other):
-    asked = [context.spread.list_entries(SlotGroup(POOL, name))[KEY] for name in (domain, other)]
-    assert asked == [first, second], asked
+@then('{first:d} tasks are requested in "{domain}" and {second:d} in "{other}"')
+@then('{first:d} task is requested in "{domain}" and {second:d} in "{other}"')
+def step_requested(context, first, domain, second, other):
+    requested = [
+        context.spread.list_entries(SlotGroup(POOL, name))[KEY] for name in (domain, other)
+    ]
+    assert requested == [first, second], requested
 
 
 @given(
@@ -87,22 +89,22 @@
     context.holder = holder
 
 
-@when("a home asks for {count:d} slot")
-@when("a home asks for {count:d} slots")
-def step_ask(context, count):
+@when("a home requests {count:d} slot")
+@when("a home requests {count:d} slots")
+def step_request(context, count):
     entry = DemandEntry(SERVICE, "team", (), count, 0.0)
     context.holder.receive_demand(HOME, UpdateDemand(POOL, "fd-a", (entry,), 0, ()))
     context.holder.flush()
 
 
-@then('the grant tells costs of "{costs}"')
+@then('the grant reports costs of "{costs}"')
 def step_grant_reports_costs(context, costs):
     [grant] = [message for message in context.sent if isinstance(message, GrantSlots)]
     expected_s = parse_costs(costs)
     assert grant.summary.costs_s[: len(expected_s)] == expected_s, grant
 
 
-@when("every endpoint says that it is leaving")
+@when("every endpoint reports that it is leaving")
 def step_leaving(context):
     pass_time(context)
     releases = [
@@ -113,8 +115,8 @@
     context.holder.flush()
 
 
-@when("the home's tasks have gone elsewhere")
-def step_gone(context):
+@when("the home's tasks have moved to other holders")
+def step_moved(context):
     pass_time(context)
     context.holder.receive_demand(HOME, UpdateDemand(POOL, "fd-a", (), 0))
     context.holder.flush()
@@ -123,7 +125,7 @@
 
 
 def pass_time(context):
-    """Lets the holder's next summary be due."""
+    """Advances the time until the holder's next summary is due."""
     context.now_s += 2 * SUMMARY_INTERVAL_S
 
 
--- a/tests/steps/place_steps.py
+++ b/tests/steps/place_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the decisions of the holder, which need no clock and no sockets."""
+"""Steps for run time estimates and the assignment of tasks to endpoints."""
 
 from random import Random
 
@@ -14,21 +14,21 @@
 RUN_TIMES_S = {"fast": 0.1, "slow": 0.2}
 
 
-@given("an empty book of run times")
+@given("a run time estimator without samples")
 def step_run_time_estimator(context):
-    context.run_times = RunTimeEstimator()
-    context.expectations_s = []
+    context.estimator = RunTimeEstimator()
+    context.estimates_s = []
 
 
 def add_run_times(context, run_times_s):
-    """Adds run times of one endpoint and notes what is expected after each."""
+    """Adds run times of one endpoint and records the estimate after each."""
     for run_time_s in run_times_s:
-        context.run_times.add("e0", SERVICE, run_time_s)
-        context.expectations_s.append(context.run_times.expected_run_time_s("e0", SERVICE, 9.0))
+        context.estimator.add("e0", SERVICE, run_time_s)
+        context.estimates_s.append(context.estimator.expected_run_time_s("e0", SERVICE, 9.0))
 
 
 @when(
-    "{count:d} run times of {shortest:g} s and an exponential part of {mean:g} s are learnt "
+    "{count:d} run times of {shortest:g} s and an exponential part of {mean:g} s are added "
     "with seed {seed:d}"
 )
 def step_add_random_run_times(context, count, shortest, mean, seed):
@@ -36,25 +36,25 @@
     add_run_times(context, [shortest + random.expovariate(1 / mean) for _ in range(count)])
 
 
-@when("{count:d} run times of {run_time:g} s are learnt")
+@when("{count:d} run times of {run_time:g} s are added")
 def step_add_equal_run_times(context, count, run_time):
     add_run_times(context, [run_time] * count)
 
 
-@then("every expectation after the first {count:d} was within {percent:d} % of {expected:g} s")
+@then("every estimate after the first {count:d} was within {percent:d} % of {expected:g} s")
 def step_within(context, count, percent, expected):
-    largest_error_s = max(abs(each - expected) for each in context.expectations_s[count:])
+    largest_error_s = max(abs(each - expected) for each in context.estimates_s[count:])
     assert largest_error_s <= expected * percent / 100, largest_error_s
 
 
 @then("the expected run time is above {bound:g} s")
 def step_above(context, bound):
-    assert context.expectations_s[-1] > bound, context.expectations_s[-1]
+    assert context.estimates_s[-1] > bound, context.estimates_s[-1]
 
 
 @then("another endpoint is expected to take {expected:g} s")
 def step_other(context, expected):
-    assert abs(context.run_times.expected_run_time_s("e1", SERVICE, 9.0) - expected) < 1e-9
+    assert abs(context.estimator.expected_run_time_s("e1", SERVICE, 9.0) - expected) < 1e-9
 
 
 @given("an endpoint that takes 0.1 s with no free slot, and one that takes 0.2 s with a free one")
--- a/tests/support/place_world.py
+++ b/tests/support/place_world.py
@@ -1,4 +1,4 @@
-"""Configurations for the features of placement."""
+"""Configurations for the tests of placement."""
 
 from berylproxy.records.models import Configuration, Endpoint, Pool, Service
 
@@ -6,7 +6,7 @@
 
 
 def make_configuration(slots):
-    """Makes a configuration with one endpoint for each name."""
+    """Creates a configuration with one endpoint for each name, with the given number of slots."""
     endpoints = {
         name: Endpoint(name, POOL, f"http://{name}", count, 64, {}, "o", "o", "fd-a", False)
         for name, count in slots.items()
--- a/tests/waiting/load.feature
+++ b/tests/waiting/load.feature
@@ -1,7 +1,7 @@
 Feature: A job that would start too late to end in time is refused at once
 
   Scenario Outline: The expected wait and three run times, or half the timeout, must fit the timeout
-    When a job with a timeout of <timeout> s meets a wait of <wait> s and run times of <run> s
+    When a job with a timeout of <timeout> s is checked at an expected wait of <wait> s and run times of <run> s
     Then its admission ends with "<code>"
 
     Examples:
