--- a/berylproxy/place/holder.py
+++ b/berylproxy/place/holder.py
@@ -31,8 +31,10 @@
         self.settle_deadline_s = settle_deadline_s
         self.last_summary: HolderSummary | None = None
         self.last_summary_s = 0.0
-        self.idle_homes: set[str] = set()  # have reported, without tasks waiting here
-        self.stalled_homes: set[str] = set()  # have tasks waiting here, were sent nothing lately
+        self.idle_homes: set[str] = set()  # have reported that no task waits here
+        self.stalled_homes: set[str] = (
+            set()
+        )  # with tasks waiting here, not sent any message recently
         self.last_message_s: dict[str, float] = {}  # time of the last message sent, by home
 
     def is_settled(self, now_s: float) -> bool:
--- a/berylproxy/place/spread.py
+++ b/berylproxy/place/spread.py
@@ -9,7 +9,7 @@
 from berylproxy.place.schedule import WAIT_WEIGHT
 
 REMOTE_PENALTY_S = 0.003  # added to the cost of a slot in another failure domain
-UNKNOWN_TASK_COST_S = 0.1  # cost of each allotted task while the holder has sent no summary
+UNKNOWN_TASK_COST_S = 0.1  # cost of each allotted task until the holder sends a summary
 
 
 class DemandSpread:
@@ -48,11 +48,11 @@
         self._move_demand_to(group)
 
     def move_to_free_slots(self) -> None:
-        """Moves waiting tasks to groups whose last summary still leaves free slots.
+        """Moves waiting tasks to groups with free slots by their last summary.
 
-        :meth:`update_summary` moves only tasks that are allotted when the summary arrives. Without
-        this method, tasks allotted later to a group that has stopped would wait there while other
-        groups are idle.
+        Tasks of groups without usable slots are moved away. :meth:`update_summary` moves only
+        tasks that are allotted when the summary arrives; without this method, tasks allotted later
+        to a group that has stopped would wait there while other groups are idle.
         """
         for group, summary in self._summaries.items():
             if summary.free - summary.waiting - self._allotted_since_summary[group] > 0:
@@ -128,7 +128,8 @@
     def _estimate_cost_s(self, group: SlotGroup) -> float:
         """Estimates the cost of one more task in a group.
 
-        Without a summary of the group, the cost starts at 0 and grows with each allotted task.
+        Without a summary of the group, the cost is only the penalty for a remote group, and grows
+        by :data:`UNKNOWN_TASK_COST_S` with each allotted task.
         """
         penalty_s = 0.0 if group.failure_domain == self._failure_domain else REMOTE_PENALTY_S
         summary = self._summaries.get(group)
--- a/tests/steps/ledger_steps.py
+++ b/tests/steps/ledger_steps.py
@@ -29,9 +29,9 @@
     context, home: str, waiting: int, team: str = "t", last_grant: int | None = None
 ) -> None:
     """Updates a home's demand; by default the home has received all grants."""
-    seen = context.last_grant if last_grant is None else last_grant
+    acknowledged = context.last_grant if last_grant is None else last_grant
     entry = DemandEntry(SERVICE, team, (), waiting, 0.0)
-    context.ledger.update_demand(home, [entry], seen, context.now_s)
+    context.ledger.update_demand(home, [entry], acknowledged, context.now_s)
 
 
 def grant_slots(context) -> list:
