--- a/berylproxy/daemon/application.py
+++ b/berylproxy/daemon/application.py
@@ -181,7 +181,7 @@
         network.handle_notice(
             RecordsAccepted, lambda _, message: self._spreader.handle_accepted(message)
         )
-        network.provide_heartbeat(CONFIG_PART, self._spreader.make_heartbeat_part)
+        network.add_heartbeat_part(CONFIG_PART, self._spreader.make_heartbeat_part)
         network.on_change(self._take_member)
         self._view.subscribe(lambda _: self._apply_configuration())
 
--- a/berylproxy/deduplicate/router.py
+++ b/berylproxy/deduplicate/router.py
@@ -211,7 +211,7 @@
             if member.identity.incarnation != home:
                 continue
             is_dead = member.status is MemberStatus.DEAD
-            dead_for_s = self._clock.now_s() - member.changed_s if is_dead else 0.0
+            dead_for_s = self._clock.now_s() - member.status_changed_s if is_dead else 0.0
             if member.is_final or dead_for_s > HOME_GONE_AFTER_S:
                 break
             if is_dead:
--- a/berylproxy/durable/coordinator.py
+++ b/berylproxy/durable/coordinator.py
@@ -163,8 +163,8 @@
         network.handle_notice(DropJob, self._take_drop)
         network.handle_notice(HolderHeartbeat, self._take_heartbeat)
         network.handle_notice(JobsEnded, lambda _, message: self._on_ended(message.states))
-        network.provide_heartbeat(HEARTBEAT_PART, self._describe)
-        network.depend_on(self._list_entries)
+        network.add_heartbeat_part(HEARTBEAT_PART, self._describe)
+        network.prioritize_members(self._list_entries)
 
     async def run(self) -> None:
         """Watches over all groups until cancelled."""
@@ -471,7 +471,7 @@
         """Tells whether a daemon was heard lately, or is this one."""
         if incarnation == self.own_incarnation:
             return True
-        return self._network.silence_s(incarnation) < ENTRY_SILENCE_S
+        return self._network.time_since_message_s(incarnation) < ENTRY_SILENCE_S
 
     def _list_entries(self) -> set[str]:
         """Lists the daemons whose jobs are dropped here unless the daemons are heard."""
--- a/berylproxy/peers/__init__.py
+++ b/berylproxy/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Streams between daemons, and the membership learnt from them."""
+"""Message streams between daemons, and the cluster membership maintained over them."""
--- a/berylproxy/peers/acceptor.py
+++ b/berylproxy/peers/acceptor.py
@@ -1,4 +1,4 @@
-"""Accepts connections and runs their handshakes, few at a time."""
+"""Accepts connections and runs their handshakes, a bounded number at a time."""
 
 from collections.abc import Awaitable, Callable
 
@@ -18,9 +18,9 @@
 
 
 class Acceptor:
-    """Serves the accepted connections that turn out to be daemons of this cluster.
+    """Serves the accepted connections whose handshake proves a daemon of this cluster.
 
-    :param make_handshake: makes the handshake of a connection.
+    :param make_handshake: creates the handshake for a connection.
     :param serve: runs the stream after the handshake.
     """
 
@@ -35,7 +35,7 @@
         self._make_handshake = make_handshake
         self._serve = serve
         self._logger = logger
-        self._handshakes = 0
+        self._running_handshakes = 0
         self._is_full = False
 
     async def run(self, listener: Listener[SocketStream], task_group: TaskGroup) -> None:
@@ -50,37 +50,39 @@
     async def _serve_connection(self, stream: SocketStream) -> None:
         identity = None
         try:
-            if self._has_room():
-                identity = await self._shake_hands(stream)
+            if self._has_capacity():
+                identity = await self._run_handshake(stream)
         except PeerHandshakeError as error:
             self._logger.warning("refused a connection: {}", error, extra={"code": error.code})
         except OSError as error:
-            self._logger.warning("lost a connection in its handshake: {}", error)
+            self._logger.warning("a connection broke during its handshake: {}", error)
         finally:
             if identity is None:
                 await aclose_forcefully(stream)
         if identity is not None:
             await self._serve(identity, stream)
 
-    def _has_room(self) -> bool:
+    def _has_capacity(self) -> bool:
         was_full = self._is_full
-        self._is_full = self._handshakes >= self._settings.max_handshakes
+        self._is_full = self._running_handshakes >= self._settings.max_handshakes
         if self._is_full and not was_full:
-            self._logger.warning("too many connections in their handshake, refusing more")
+            self._logger.warning(
+                "too many connections are in their handshake; refusing further ones"
+            )
         return not self._is_full
 
-    async def _shake_hands(self, stream: SocketStream) -> DaemonIdentity:
-        self._handshakes += 1
+    async def _run_handshake(self, stream: SocketStream) -> DaemonIdentity:
+        self._running_handshakes += 1
         remote_host = "unknown host"
         try:
             address = stream.extra(SocketAttribute.remote_address, None)
             if address is None:
-                raise ConnectionResetError("its other end has reset it")
+                raise ConnectionResetError("the remote side reset the connection")
             remote_host = address[0]
             if not self._settings.keys and not is_loopback(remote_host):
-                raise PeerHandshakeError("not a loopback address, and there is no key")
+                raise PeerHandshakeError("connections from other hosts need a shared key")
             return await self._make_handshake(stream).accept()
         except PeerHandshakeError as error:
             raise type(error)(f"{remote_host}: {error.message}") from error
         finally:
-            self._handshakes -= 1
+            self._running_handshakes -= 1
--- a/berylproxy/peers/codec.py
+++ b/berylproxy/peers/codec.py
@@ -1,4 +1,4 @@
-"""Frames of the streams: dataclasses to msgpack and back, checked on receipt."""
+"""Frames of the streams: dataclasses encoded as msgpack and validated when they are decoded."""
 
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestFrame:
-    """A message that wants a reply with the same number."""
+    """A message that expects a reply with the same request id."""
 
     request_id: int
     message: Any
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RefusalFrame:
-    """The error that a request ended with."""
+    """The error that is returned instead of a reply."""
 
     request_id: int
     code: str
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NoticeFrame:
-    """A message without reply."""
+    """A one-way message."""
 
     message: Any
 
@@ -58,9 +58,9 @@
 class MessageCodec:
     """Encodes and decodes frames that carry messages of registered dataclasses.
 
-    Fields travel by name, so that a daemon of another version may add fields with defaults.
+    Fields are encoded by name, so that a daemon of another version may add fields with defaults.
 
-    :param message_types: dataclasses, known on the wire by their ``WIRE_NAME`` or class names.
+    :param message_types: dataclasses, named on the wire by their ``WIRE_NAME`` or class name.
     """
 
     def __init__(self, message_types: Iterable[type]) -> None:
@@ -76,7 +76,7 @@
         self._pack = Packer(use_bin_type=True).pack
 
     def extend(self, message_types: Iterable[type]) -> "MessageCodec":
-        """Makes a codec that knows further types."""
+        """Returns a codec with further message types."""
         return MessageCodec((*self._types, *message_types))
 
     def encode(self, frame: Frame) -> bytes:
@@ -100,21 +100,24 @@
         max_items: int = MAX_CONTAINER_ITEMS,
         max_feed_bytes: int = MAX_FEED_BYTES,
     ) -> "FrameDecoder":
-        """Makes the decoder of one stream."""
+        """Creates the decoder for one stream."""
         return FrameDecoder(self, max_frame_bytes, max_items, max_feed_bytes)
 
-    def check(self, value: Any) -> Frame:
-        """Turns a decoded msgpack value into a frame."""
+    def parse(self, value: Any) -> Frame:
+        """Validates a decoded msgpack value and returns it as a frame.
+
+        :raises PeerProtocolError: if the value is not a valid frame.
+        """
         if type(value) is not list or len(value) != 4:
-            raise PeerProtocolError("a frame is not a list of four")
+            raise PeerProtocolError("a frame is not a list of four items")
         frame_kind, request_id, name, body = value
         if type(request_id) is not int or not 0 <= request_id < MAX_REQUEST_ID:
-            raise PeerProtocolError("a frame has no valid number")
+            raise PeerProtocolError("a frame has no valid request id")
         if type(frame_kind) is not int or type(name) is not str:
-            raise PeerProtocolError("a frame has no valid kind")
+            raise PeerProtocolError("a frame has no valid kind or message name")
         if frame_kind == REFUSAL:
-            return _check_refusal(request_id, name, body)
-        message = self._check_message(name, body)
+            return _parse_refusal(request_id, name, body)
+        message = self._parse_message(name, body)
         if frame_kind == REQUEST:
             return RequestFrame(request_id, message)
         if frame_kind == REPLY:
@@ -130,7 +133,7 @@
             raise TypeError(f"{message_type.__name__} is not a registered message type")
         return _wire_name(message_type), dump(message)
 
-    def _check_message(self, name: str, body: Any) -> Any:
+    def _parse_message(self, name: str, body: Any) -> Any:
         validate = self._validators.get(name)
         if validate is None:
             raise PeerProtocolError(f"unknown message type {name[:64]!r}")
@@ -140,40 +143,43 @@
             return validate(body)
         except ValidationError as error:
             first = error.errors(include_url=False, include_input=False)[0]
-            place = ".".join(map(str, first["loc"]))
-            raise PeerProtocolError(f"malformed {name}: {place[:64]}: {first['msg']}") from error
+            location = ".".join(map(str, first["loc"]))
+            raise PeerProtocolError(f"malformed {name}: {location[:64]}: {first['msg']}") from error
 
 
 class FrameDecoder:
-    """Cuts one stream's bytes into checked frames.
+    """Splits the bytes of one stream into validated frames.
 
-    :param max_frame_bytes: bound of what is kept for an unfinished frame.
-    :param max_items: bound of the items in one list or map, which are allocated before they come.
-    :param max_feed_bytes: the most that is fed at once; it may hold the starts of later frames.
+    :param max_frame_bytes: maximum size of an incomplete frame that is buffered.
+    :param max_items: maximum number of items in one list or map; msgpack allocates the space for
+        them before they arrive.
+    :param max_feed_bytes: maximum size of the data passed to one :meth:`feed`, which may contain
+        the beginning of a later frame.
     """
 
     def __init__(
         self, codec: MessageCodec, max_frame_bytes: int, max_items: int, max_feed_bytes: int
     ) -> None:
-        self._check = codec.check
+        self._parse = codec.parse
         self._unpacker = Unpacker(
             raw=False,
-            read_size=min(READ_BYTES, max_frame_bytes),  # allocated for each stream at once
+            read_size=min(READ_BYTES, max_frame_bytes),  # allocated when the stream opens
             max_buffer_size=max_frame_bytes + max_feed_bytes,
             max_str_len=max_frame_bytes,
             max_bin_len=max_frame_bytes,
             max_array_len=max_items,
             max_map_len=max_items,
-            ext_hook=_refuse_extension,
+            ext_hook=_reject_extension,
         )
 
     def feed(self, data: bytes) -> Iterator[Frame]:
         """Yields the frames that the data completes.
 
-        :raises PeerProtocolError: on the first thing that is wrong; the stream is then unusable.
+        :raises PeerProtocolError: at the first malformed byte or frame; the decoder is unusable
+            afterwards.
         """
         for value in self._unpack(data):
-            yield self._check(value)
+            yield self._parse(value)
 
     def _unpack(self, data: bytes) -> Iterator[Any]:
         try:
@@ -181,7 +187,7 @@
             yield from self._unpacker
         except PeerProtocolError:
             raise
-        except Exception as error:  # msgpack documents no closed set of errors for bad input
+        except Exception as error:  # msgpack does not document which errors bad input raises
             raise PeerProtocolError(f"not a msgpack stream: {type(error).__name__}") from error
 
 
@@ -189,7 +195,7 @@
     return getattr(message_type, "WIRE_NAME", message_type.__name__)
 
 
-def _check_refusal(request_id: int, code: str, body: Any) -> RefusalFrame:
+def _parse_refusal(request_id: int, code: str, body: Any) -> RefusalFrame:
     if type(body) is not list or len(body) != 2 or type(body[0]) is not str:
         raise PeerProtocolError("malformed refusal")
     if body[1] is not None and type(body[1]) not in (int, float):
@@ -197,8 +203,8 @@
     return RefusalFrame(request_id, code, body[0], body[1])
 
 
-def _refuse_extension(code: int, _: bytes) -> Any:
-    raise PeerProtocolError(f"extension type {code} is not used here")
+def _reject_extension(code: int, _: bytes) -> Any:
+    raise PeerProtocolError(f"msgpack extension type {code} is not supported")
 
 
 def _make_strict(schema: Any) -> Any:
--- a/berylproxy/peers/dialler.py
+++ b/berylproxy/peers/dialler.py
@@ -1,4 +1,4 @@
-"""Keeps one dialled stream open to every known address."""
+"""Maintains one outgoing stream to every known address."""
 
 from collections.abc import Awaitable, Callable
 from random import uniform
@@ -14,101 +14,109 @@
 STABLE_STREAM_S = 5.0
 
 ServeStream = Callable[[str, ByteStream], Awaitable[bool]]
-OnRefused = Callable[[str], None]
+OnConnectionRefused = Callable[[str], None]
 
 
 class Dialler:
-    """Dials addresses and dials them again when a stream ends.
+    """Dials addresses and redials them, with exponential backoff, when a stream ends.
 
-    :param serve: runs the handshake and the stream; returns whether the address is still wanted.
-    :param on_refused: called with an address at which nothing listens.
+    :param serve: runs the handshake and the stream; returns whether to keep dialling the address.
+    :param on_connection_refused: called with an address at which nothing listens.
     """
 
     def __init__(
-        self, settings: PeerSettings, serve: ServeStream, on_refused: OnRefused, logger: Logger
+        self,
+        settings: PeerSettings,
+        serve: ServeStream,
+        on_connection_refused: OnConnectionRefused,
+        logger: Logger,
     ) -> None:
         self._settings = settings
         self._serve = serve
-        self._on_refused = on_refused
+        self._on_connection_refused = on_connection_refused
         self._logger = logger
         self._wakeups: dict[str, Event] = {}
-        self._pauses: dict[str, Event] = {}
-        self._unwanted: set[str] = set()
-        self._running: set[str] = set()
+        self._delay_interrupts: dict[str, Event] = {}
+        self._excluded: set[str] = set()
+        self._running_addresses: set[str] = set()
         self._task_group: TaskGroup | None = None
 
     def start(self, task_group: TaskGroup) -> None:
-        """Begins to dial the addresses known so far."""
+        """Starts dialling the addresses added so far."""
         self._task_group = task_group
         for address in self._wakeups:
-            self._begin(address)
+            self._start_task(address)
 
     def add(self, address: str) -> None:
-        """Adds an address; dials at once if it is known and waiting to be dialled again."""
-        if address in self._unwanted:
+        """Adds an address, or redials a known one at once if its last attempt failed."""
+        if address in self._excluded:
             return
         if address in self._wakeups:
             self._wakeups[address].set()
             return
         host, _ = split_address(address)
         if not self._settings.keys and not is_loopback(host):
-            raise PeerSettingsError(f"without a key {address!r} cannot be dialled")
+            raise PeerSettingsError(
+                f"cannot dial {address!r} without a shared key: it is not a loopback address"
+            )
         self._wakeups[address] = Event()
-        self._begin(address)
+        self._start_task(address)
 
-    def hurry(self, address: str) -> None:
-        """Dials at once, whatever happened before: another daemon than before runs there."""
-        pause = self._pauses.get(address)
-        if pause is not None:
-            pause.set()
+    def redial_now(self, address: str) -> None:
+        """Ends the delay before the next dial, because another daemon now runs at the address."""
+        interrupt = self._delay_interrupts.get(address)
+        if interrupt is not None:
+            interrupt.set()
 
     def addresses(self) -> list[str]:
-        """Lists the addresses that are kept dialled."""
+        """Lists the addresses that are dialled."""
         return list(self._wakeups)
 
     def remove(self, address: str) -> None:
-        """Stops to dial an address after its present stream."""
+        """Stops dialling an address; its current stream stays open."""
         wakeup = self._wakeups.pop(address, None)
         if wakeup is not None:
             wakeup.set()
 
     def exclude(self, address: str) -> None:
-        """Removes an address for good."""
-        self._unwanted.add(address)
+        """Removes an address permanently: adding it again has no effect."""
+        self._excluded.add(address)
         self.remove(address)
 
-    def _begin(self, address: str) -> None:
-        # An address that is removed and added again may still have its task.
-        if self._task_group is not None and address not in self._running:
-            self._running.add(address)
+    def _start_task(self, address: str) -> None:
+        # The task of an address that was removed and added again may still be running.
+        if self._task_group is not None and address not in self._running_addresses:
+            self._running_addresses.add(address)
             self._task_group.start_soon(self._run, address)
 
     async def _run(self, address: str) -> None:
         try:
-            await self._keep_open(address)
+            await self._keep_connected(address)
         finally:
-            self._running.discard(address)
+            self._running_addresses.discard(address)
 
-    async def _keep_open(self, address: str) -> None:
+    async def _keep_connected(self, address: str) -> None:
         delay_s = self._settings.redial_min_delay_s
         last_problem = ""
         while address in self._wakeups:
             self._wakeups[address] = wakeup = Event()
             started_s = current_time()
             problem = await self._dial(address)
-            # A stream that breaks soon after each handshake must not be dialled in a tight loop.
+            # If streams break right after each handshake, redialling must not become a tight loop.
             was_stable = not problem and current_time() - started_s >= STABLE_STREAM_S
             if was_stable:
                 delay_s = self._settings.redial_min_delay_s
             if problem and problem != last_problem:
-                self._logger.warning("cannot reach daemon at {}: {}", address, problem)
+                self._logger.warning("cannot connect to the daemon at {}: {}", address, problem)
             last_problem = problem
             if not problem:
-                wakeup = Event()  # the other side's own dialling is no reason to hurry then
-            self._pauses[address] = wakeup
+                # After a working stream, add() must not cut the delay short: the peer dials this
+                # daemon as well, and each of its streams adds the address again.
+                wakeup = Event()
+            self._delay_interrupts[address] = wakeup
             with move_on_after(uniform(delay_s / 2, delay_s)):
                 await wakeup.wait()
-            del self._pauses[address]
+            del self._delay_interrupts[address]
             if not was_stable:
                 delay_s = min(delay_s * BACKOFF_FACTOR, self._settings.redial_max_delay_s)
 
@@ -116,15 +124,15 @@
         try:
             stream = await self._connect(address)
         except ConnectionRefusedError:
-            self._on_refused(address)
+            self._on_connection_refused(address)
             return "connection refused"
         except (OSError, TimeoutError) as error:
             return str(error) or type(error).__name__
         try:
-            wanted = await self._serve(address, stream)
+            should_redial = await self._serve(address, stream)
         except PeerHandshakeError as error:
             return error.message
-        if not wanted:
+        if not should_redial:
             self.exclude(address)
         return ""
 
@@ -137,4 +145,4 @@
                 if isinstance(error.__cause__, ConnectionRefusedError):
                     raise error.__cause__ from None
                 raise
-        raise TimeoutError("no connection in time")
+        raise TimeoutError("connecting timed out")
--- a/berylproxy/peers/errors.py
+++ b/berylproxy/peers/errors.py
@@ -1,10 +1,10 @@
-"""The errors of the streams beyond those that :mod:`berylproxy.peers.membership` declares."""
+"""Errors of the streams, in addition to those of :mod:`berylproxy.peers.membership`."""
 
 from berylproxy.peers.membership import PeerError, PeerUnreachableError
 
 
 class PeerSettingsError(PeerError):
-    """The settings of the streams contradict each other."""
+    """The settings of the streams are invalid or contradict each other."""
 
     code = "peer_settings_invalid"
 
@@ -34,7 +34,7 @@
 
 
 class PeerMessageTooLargeError(PeerUnreachableError):
-    """The message is larger than the other side accepts: it was not sent."""
+    """The message is larger than the other side accepts and was not sent."""
 
     code = "peer_message_too_large"
 
@@ -53,12 +53,12 @@
 
 
 class PeerReplyUndeliverableError(PeerError):
-    """The request was handled, but its reply is too large or its stream too full to send it."""
+    """The request was handled, but its reply is too large or the stream's send queue is full."""
 
     code = "peer_reply_undeliverable"
 
 
 class PeerOverloadedError(PeerError):
-    """The daemon already handles as many requests of this stream as it may."""
+    """The daemon already handles the maximum number of requests of this stream."""
 
     code = "peer_overloaded"
--- a/berylproxy/peers/handshake.py
+++ b/berylproxy/peers/handshake.py
@@ -1,8 +1,8 @@
 """The handshake that opens each stream: versions, identities and proof of the shared key.
 
-Both sides send a :class:`Hello`, then the dialling side proves the key, then the accepting one.
-A proof is an HMAC over the prover's role and the bytes of both hellos, which hold both nonces and
-both identities.
+Both sides send a :class:`Hello`; then the dialling side and after it the accepting side prove that
+they have the key. A proof is an HMAC over the prover's role and the bytes of both hellos, which
+contain both nonces and both identities.
 """
 
 import hmac
@@ -39,8 +39,8 @@
 class Hello:
     """The first message of either side.
 
-    :param protocol_version: the newest version that the sender speaks.
-    :param oldest_protocol_version: the oldest one.
+    :param protocol_version: newest protocol version that the sender supports.
+    :param oldest_protocol_version: oldest protocol version that the sender supports.
     """
 
     protocol_version: int
@@ -52,14 +52,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Proof:
-    """Proves the sender's keys, one digest for each."""
+    """Proves that the sender has its shared keys, with one digest per key."""
 
     digests: tuple[bytes, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class HandshakeRefusal:
-    """Why the sender closes the stream, with the versions that it speaks."""
+    """The reason why the sender closes the stream, with the protocol versions it supports."""
 
     code: str
     message: str
@@ -74,9 +74,9 @@
 
 
 class Handshake:
-    """One side's handshake on a fresh stream.
+    """One side of the handshake on a new stream.
 
-    :param check_identity: raises :class:`PeerHandshakeError` for an identity that is not welcome.
+    :param check_identity: raises :class:`PeerHandshakeError` for an identity to be refused.
     """
 
     def __init__(
@@ -105,55 +105,66 @@
         self._hello_bytes = HANDSHAKE_CODEC.encode(NoticeFrame(hello))
 
     async def dial(self) -> DaemonIdentity:
-        """Runs the dialling side and returns the other side's identity."""
-        return await self._run_bounded(self._dial)
+        """Runs the dialling side and returns the other side's identity.
+
+        :raises PeerHandshakeError: if either side refuses, or on timeout.
+        """
+        return await self._run_with_timeout(self._dial)
 
     async def accept(self) -> DaemonIdentity:
-        """Runs the accepting side and returns the other side's identity."""
-        return await self._run_bounded(self._accept)
+        """Runs the accepting side and returns the other side's identity.
+
+        :raises PeerHandshakeError: if either side refuses, or on timeout.
+        """
+        return await self._run_with_timeout(self._accept)
 
     async def _dial(self) -> DaemonIdentity:
         await self._stream.send(self._hello_bytes)
-        other = await self._receive(Hello)
+        peer_hello = await self._receive(Hello)
         hellos = (self._hello_bytes, self._received_bytes)
-        await self._check_hello(other)
-        await self._send(self._prove(DIALLER, hellos))
+        await self._check_hello(peer_hello)
+        await self._send(self._make_proof(DIALLER, hellos))
         await self._check_proof(await self._receive(Proof), ACCEPTOR, hellos)
-        await self._welcome(other)
-        return other.identity
+        await self._verify_identity(peer_hello)
+        return peer_hello.identity
 
     async def _accept(self) -> DaemonIdentity:
-        other = await self._receive(Hello)
+        peer_hello = await self._receive(Hello)
         hellos = (self._received_bytes, self._hello_bytes)
-        await self._check_hello(other)
+        await self._check_hello(peer_hello)
         await self._stream.send(self._hello_bytes)
         await self._check_proof(await self._receive(Proof), DIALLER, hellos)
-        await self._welcome(other)
-        await self._send(self._prove(ACCEPTOR, hellos))
-        return other.identity
+        await self._verify_identity(peer_hello)
+        await self._send(self._make_proof(ACCEPTOR, hellos))
+        return peer_hello.identity
 
-    async def _run_bounded(self, side: Callable[[], Awaitable[DaemonIdentity]]) -> DaemonIdentity:
+    async def _run_with_timeout(
+        self, run_side: Callable[[], Awaitable[DaemonIdentity]]
+    ) -> DaemonIdentity:
         try:
             with fail_after(self._settings.handshake_timeout_s):
-                return await side()
+                return await run_side()
         except TimeoutError as error:
-            raise PeerHandshakeError("no handshake in time") from error
+            raise PeerHandshakeError("the handshake timed out") from error
         except (EndOfStream, BrokenResourceError, ClosedResourceError) as error:
-            raise PeerHandshakeError("the stream ended in the handshake") from error
+            raise PeerHandshakeError("the stream ended during the handshake") from error
         except PeerProtocolError as error:
-            raise PeerHandshakeError(f"not a daemon: {error.message}") from error
+            raise PeerHandshakeError(f"the other side is not a daemon: {error.message}") from error
 
-    async def _check_hello(self, other: Hello) -> None:
-        if not _have_common_version(other):
+    async def _check_hello(self, peer_hello: Hello) -> None:
+        if not _has_common_version(peer_hello):
             message = (
-                f"versions {OLDEST_PROTOCOL_VERSION} to {PROTOCOL_VERSION} are spoken here,"
-                f" {other.oldest_protocol_version} to {other.protocol_version} there"
+                f"no common protocol version: {OLDEST_PROTOCOL_VERSION} to {PROTOCOL_VERSION}"
+                f" supported here, {peer_hello.oldest_protocol_version} to"
+                f" {peer_hello.protocol_version} by the other side"
             )
             await self._refuse(PeerVersionUnsupportedError(message))
-        if other.cluster != self._settings.cluster:
-            await self._refuse(PeerHandshakeError("the other side is of another cluster"))
-        if len(other.nonce) != NONCE_BYTES or other.nonce == self._nonce:
-            await self._refuse(PeerHandshakeError("the nonce is not a fresh one"))
+        if peer_hello.cluster != self._settings.cluster:
+            await self._refuse(PeerHandshakeError("the other side belongs to another cluster"))
+        if len(peer_hello.nonce) != NONCE_BYTES or peer_hello.nonce == self._nonce:
+            await self._refuse(
+                PeerHandshakeError("the nonce has a wrong length or repeats this side's own")
+            )
 
     async def _check_proof(self, proof: Proof, role: str, hellos: HelloBytes) -> None:
         expected = [make_digest(key, role, hellos) for key in self._settings.keys]
@@ -163,13 +174,13 @@
             return
         await self._refuse(PeerHandshakeError("the other side has no shared key of this cluster"))
 
-    async def _welcome(self, other: Hello) -> None:
+    async def _verify_identity(self, peer_hello: Hello) -> None:
         try:
-            self._check_identity(other.identity)
+            self._check_identity(peer_hello.identity)
         except PeerHandshakeError as error:
             await self._refuse(error)
 
-    def _prove(self, role: str, hellos: HelloBytes) -> Proof:
+    def _make_proof(self, role: str, hellos: HelloBytes) -> Proof:
         return Proof(tuple(make_digest(key, role, hellos) for key in self._settings.keys))
 
     async def _refuse(self, error: PeerHandshakeError) -> None:
@@ -198,18 +209,18 @@
 
 
 def make_digest(key: bytes, role: str, hellos: HelloBytes) -> bytes:
-    """Makes the proof of one key for one role."""
+    """Computes the digest that proves one key for one role."""
     return hmac.new(key, packb((PROOF_LABEL, role, *hellos)), sha256).digest()
 
 
-def _have_common_version(other: Hello) -> bool:
-    newest = min(PROTOCOL_VERSION, other.protocol_version)
-    return newest >= max(OLDEST_PROTOCOL_VERSION, other.oldest_protocol_version)
+def _has_common_version(peer_hello: Hello) -> bool:
+    newest = min(PROTOCOL_VERSION, peer_hello.protocol_version)
+    return newest >= max(OLDEST_PROTOCOL_VERSION, peer_hello.oldest_protocol_version)
 
 
 def _make_error(refusal: HandshakeRefusal) -> PeerHandshakeError:
     message = f"refused by the other side: {refusal.message}"
     if refusal.code != PeerVersionUnsupportedError.code:
         return PeerHandshakeError(message)
-    spoken = f"{refusal.oldest_protocol_version} to {refusal.protocol_version}"
-    return PeerVersionUnsupportedError(f"{message} (it speaks {spoken})")
+    supported = f"{refusal.oldest_protocol_version} to {refusal.protocol_version}"
+    return PeerVersionUnsupportedError(f"{message} (it supports {supported})")
--- a/berylproxy/peers/link.py
+++ b/berylproxy/peers/link.py
@@ -36,14 +36,14 @@
 from berylproxy.peers.membership import PeerLostError, PeerUnreachableError
 from berylproxy.peers.settings import PeerSettings
 
-STREAM_ENDED = (BrokenResourceError, ClosedResourceError, EndOfStream)
+STREAM_ENDED_ERRORS = (BrokenResourceError, ClosedResourceError, EndOfStream)
 HandleRequest = Callable[["PeerLink", RequestFrame], None]
 HandleNotice = Callable[["PeerLink", Any], None]
 
 
 @dataclass(slots=True)
 class LinkCounters:
-    """What the streams did, summed over all of them."""
+    """Traffic counters, summed over all streams."""
 
     sent_bytes: int = 0
     received_bytes: int = 0
@@ -55,8 +55,8 @@
     dropped_replies: int = 0
 
 
-class _Waiter:
-    """Waits for the end of one request."""
+class _PendingRequest:
+    """A request that was sent or queued on this side and has no reply yet."""
 
     __slots__ = ("event", "frame", "unsent")
 
@@ -70,8 +70,8 @@
     """One open stream after its handshake.
 
     :param identity: the daemon at the other end.
-    :param on_request: takes each request; answers it with :meth:`reply`.
-    :param on_notice: takes each notice.
+    :param on_request: called with each received request; answers it with :meth:`reply`.
+    :param on_notice: called with each received notice.
     """
 
     def __init__(
@@ -95,9 +95,9 @@
         self._on_request = on_request
         self._on_notice = on_notice
         self._request_ids = count(1)
-        self._waiters: dict[int, _Waiter] = {}
-        self._queue: list[bytes] = []
-        self._queued_waiters: list[_Waiter] = []
+        self._pending_requests: dict[int, _PendingRequest] = {}
+        self._queued_frames: list[bytes] = []
+        self._queued_requests: list[_PendingRequest] = []
         self._queued_bytes = 0
         self._wakeup = Event()
         self._scope = CancelScope()
@@ -110,19 +110,19 @@
         return self._closed
 
     @property
-    def has_waiting_requests(self) -> bool:
-        """Whether a request sent on this stream waits for its reply."""
-        return bool(self._waiters)
+    def has_pending_requests(self) -> bool:
+        """Whether a request sent on this stream has no reply yet."""
+        return bool(self._pending_requests)
 
     @property
     def is_busy(self) -> bool:
-        """Whether a received request is unanswered or something waits to be written."""
+        """Whether a received request is unanswered or queued data is not written yet."""
         return not self._closed and bool(self.running_requests or self._queued_bytes)
 
     async def run(self) -> None:
         """Serves the stream until either side ends it.
 
-        :raises PeerProtocolError: if the other side broke the protocol.
+        :raises PeerProtocolError: if the other side violates the protocol.
         """
         try:
             with self._scope:
@@ -138,55 +138,63 @@
             self._ended.set()
 
     def close(self) -> None:
-        """Ends the stream and every request that waits on it."""
+        """Ends the stream and fails every request that has no reply yet."""
         self._closed = True
         self._scope.cancel()
-        waiters, self._waiters = self._waiters, {}
-        for waiter in waiters.values():
-            waiter.event.set()
+        pending_requests, self._pending_requests = self._pending_requests, {}
+        for pending_request in pending_requests.values():
+            pending_request.event.set()
 
     async def wait_closed(self) -> None:
-        """Waits for the end of the stream."""
+        """Waits until the stream has ended and its socket is closed."""
         await self._ended.wait()
 
     async def request(self, message: Any, timeout_s: float) -> Any:
-        """Sends a message and waits for the reply."""
+        """Sends a message and waits for the reply.
+
+        :raises PeerRequestRefusedError: if the other daemon answers with an error.
+        :raises PeerUnreachableError: if the message was certainly not sent.
+        :raises PeerLostError: if it was sent, but no reply arrived.
+        """
         request_id = next(self._request_ids)
-        waiter = _Waiter()
-        self._enqueue(RequestFrame(request_id, message), waiter)
-        self._waiters[request_id] = waiter
+        pending_request = _PendingRequest()
+        self._enqueue(RequestFrame(request_id, message), pending_request)
+        self._pending_requests[request_id] = pending_request
         try:
             with move_on_after(timeout_s):
-                await waiter.event.wait()
+                await pending_request.event.wait()
         finally:
-            self._waiters.pop(request_id, None)
-        return self._conclude(waiter, timeout_s)
+            self._pending_requests.pop(request_id, None)
+        return self._get_result(pending_request, timeout_s)
 
     def notify(self, message: Any) -> None:
-        """Queues a message without reply; drops and counts it if that is impossible."""
+        """Queues a one-way message; drops and counts it if it cannot be queued."""
         try:
             self._enqueue(NoticeFrame(message))
         except PeerUnreachableError:
             self._counters.dropped_notices += 1
 
     def reply(self, frame: ReplyFrame | RefusalFrame) -> None:
-        """Queues the reply to a request; drops and counts it if that is impossible."""
+        """Queues the reply to a request; drops and counts it if it cannot be queued.
+
+        On an open stream a refusal is then sent in place of the reply, if there is room for one.
+        """
         try:
             self._enqueue(frame)
         except PeerUnreachableError:
             self._counters.dropped_replies += 1
             if not self._closed and isinstance(frame, ReplyFrame):
-                self._refuse_unsendable(frame.request_id)
+                self._send_undeliverable_refusal(frame.request_id)
 
-    def _refuse_unsendable(self, request_id: int) -> None:
+    def _send_undeliverable_refusal(self, request_id: int) -> None:
         code = PeerReplyUndeliverableError.code
         refusal = RefusalFrame(request_id, code, "the reply could not be sent", None)
         data = self._codec.encode(refusal)
         if self._queued_bytes + len(data) <= self._settings.max_queued_bytes:
             self._append(data)
 
-    def _conclude(self, waiter: _Waiter, timeout_s: float) -> Any:
-        match waiter.frame:
+    def _get_result(self, pending_request: _PendingRequest, timeout_s: float) -> Any:
+        match pending_request.frame:
             case ReplyFrame(_, message):
                 return message
             case RefusalFrame(_, PeerReplyUndeliverableError.code, text, _):
@@ -195,26 +203,30 @@
                 raise PeerRequestRefusedError(code, text, retry_after_s=retry_after_s)
         name = self.identity.daemon_id
         if not self._closed:
-            raise PeerLostError(f"no reply from daemon {name!r} in {timeout_s} s")
-        if waiter.unsent:
-            raise PeerUnreachableError(f"the stream to daemon {name!r} ended before the request")
-        raise PeerLostError(f"the stream to daemon {name!r} ended before the reply")
-
-    def _enqueue(self, frame: Frame, waiter: _Waiter | None = None) -> None:
+            raise PeerLostError(f"no reply from daemon {name!r} within {timeout_s} s")
+        if pending_request.unsent:
+            raise PeerUnreachableError(
+                f"the stream to daemon {name!r} ended before the request was sent"
+            )
+        raise PeerLostError(f"the stream to daemon {name!r} ended before the reply arrived")
+
+    def _enqueue(self, frame: Frame, pending_request: _PendingRequest | None = None) -> None:
         name = self.identity.daemon_id
         if self._closed:
             raise PeerUnreachableError(f"the stream to daemon {name!r} has ended")
         data = self._codec.encode(frame)
         if len(data) > self._settings.max_message_bytes:
-            raise PeerMessageTooLargeError(f"a message of {len(data)} bytes is too large")
+            raise PeerMessageTooLargeError(
+                f"a message of {len(data)} bytes exceeds the maximum size"
+            )
         if self._queued_bytes + len(data) > self._settings.max_queued_bytes:
-            raise PeerUnreachableError(f"too much waits to be sent to daemon {name!r}")
-        if waiter is not None:
-            self._queued_waiters.append(waiter)
+            raise PeerUnreachableError(f"the send queue to daemon {name!r} is full")
+        if pending_request is not None:
+            self._queued_requests.append(pending_request)
         self._append(data)
 
     def _append(self, data: bytes) -> None:
-        self._queue.append(data)
+        self._queued_frames.append(data)
         self._queued_bytes += len(data)
         self._wakeup.set()
 
@@ -223,15 +235,15 @@
             while True:
                 await self._wakeup.wait()
                 await self._flush()
-        except STREAM_ENDED:
+        except STREAM_ENDED_ERRORS:
             self.close()
 
     async def _flush(self) -> None:
         self._wakeup = Event()
-        frames, self._queue = self._queue, []
-        waiters, self._queued_waiters = self._queued_waiters, []
-        for waiter in waiters:
-            waiter.unsent = False
+        frames, self._queued_frames = self._queued_frames, []
+        pending_requests, self._queued_requests = self._queued_requests, []
+        for pending_request in pending_requests:
+            pending_request.unsent = False
         data = b"".join(frames)
         self._counters.writes += 1
         self._counters.sent_frames += len(frames)
@@ -246,7 +258,7 @@
         while not self._closed:
             try:
                 data = await self._stream.receive(MAX_FEED_BYTES)
-            except STREAM_ENDED:
+            except STREAM_ENDED_ERRORS:
                 return
             self.last_received_s = current_time()
             self._counters.received_bytes += len(data)
@@ -261,12 +273,12 @@
             case NoticeFrame(message):
                 self._on_notice(self, message)
             case ReplyFrame() | RefusalFrame():
-                self._settle(frame)
+                self._complete_request(frame)
 
-    def _settle(self, frame: ReplyFrame | RefusalFrame) -> None:
-        waiter = self._waiters.pop(frame.request_id, None)
-        if waiter is None:
+    def _complete_request(self, frame: ReplyFrame | RefusalFrame) -> None:
+        pending_request = self._pending_requests.pop(frame.request_id, None)
+        if pending_request is None:
             self._counters.late_replies += 1
             return
-        waiter.frame = frame
-        waiter.event.set()
+        pending_request.frame = frame
+        pending_request.event.set()
--- a/berylproxy/peers/membership.py
+++ b/berylproxy/peers/membership.py
@@ -1,4 +1,4 @@
-"""Who the other daemons are, as this daemon sees them."""
+"""The other daemons of the cluster, as this daemon sees them."""
 
 from dataclasses import dataclass, field
 from enum import StrEnum
@@ -9,28 +9,28 @@
 
 
 class PeerError(BerylproxyError):
-    """Base of the errors between daemons."""
+    """Base class of the errors in the communication between daemons."""
 
     code = "peer_error"
 
 
 class PeerUnreachableError(PeerError):
-    """There is no stream to the daemon: the message was certainly not delivered."""
+    """The message was certainly not delivered, as there is no usable stream to the daemon."""
 
     code = "peer_unreachable"
 
 
 class PeerLostError(PeerError):
-    """The stream broke or the reply did not come: the message may have been delivered."""
+    """The message may have been delivered, but the stream broke or no reply arrived."""
 
     code = "peer_lost"
 
 
 class MemberStatus(StrEnum):
-    """How a member looks from here."""
+    """A member's status in the view of this daemon."""
 
     ALIVE = "alive"
-    SUSPECT = "suspect"  # silent for longer than the suspicion time, not yet given up
+    SUSPECT = "suspect"  # could not be reached, and is not yet declared dead
     DEAD = "dead"
 
 
@@ -39,10 +39,10 @@
     """Another daemon.
 
     :param heartbeat: the state that the member sent with its last heartbeat: plain msgpack values,
-        a map per concern (``{"config": {...}, "place": {...}}``).
+        one map per component (``{"config": {...}, "place": {...}}``).
     :param is_final: whether the incarnation has certainly ended; one that is dead but not final may
-        only be cut off.
-    :param changed_s: the monotonic clock's time at which the status changed.
+        still run behind a network partition.
+    :param status_changed_s: time of the last change of the status, on the monotonic clock.
     """
 
     identity: DaemonIdentity
@@ -50,11 +50,11 @@
     ready: bool = True
     heartbeat: dict[str, Any] = field(default_factory=dict)
     is_final: bool = False
-    changed_s: float = 0.0
+    status_changed_s: float = 0.0
 
 
 def describe_member(member: Member) -> dict[str, Any]:
-    """Describes a member for operators."""
+    """Returns the fields of a member that operators are shown."""
     identity = member.identity
     return {
         "daemon_id": identity.daemon_id,
@@ -70,17 +70,17 @@
     """Streams to the other daemons."""
 
     def members(self) -> list[Member]:
-        """Lists all other members ever met in their current incarnation, alive ones first."""
+        """Lists the other known members, each in its current incarnation, alive ones first."""
 
     async def request(self, incarnation: str, message: Any, timeout_s: float) -> Any:
         """Sends a message to one incarnation and waits for the reply.
 
         :raises PeerUnreachableError: if the message was certainly not delivered.
-        :raises PeerLostError: if it may have been.
+        :raises PeerLostError: if it may have been delivered.
         """
 
     def notify(self, incarnation: str, message: Any) -> None:
-        """Queues a message without reply, in order with the others; drops it if there is no stream.
+        """Queues a one-way message, in order with the others; drops it if there is no stream.
 
-        A receiver of notifications must be able to do without any one of them.
+        Delivery is not guaranteed, so a receiver must tolerate the loss of any notice.
         """
--- a/berylproxy/peers/messages.py
+++ b/berylproxy/peers/messages.py
@@ -1,4 +1,4 @@
-"""What daemons tell each other about themselves and about other daemons."""
+"""The control messages, in which daemons report their own state and that of other daemons."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -9,10 +9,11 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberUpdate:
-    """What a daemon believes about another.
+    """The sender's view of another member.
 
-    :param refutations: how often the member has denied being suspect; a higher count is newer.
-    :param final: whether the incarnation is certainly over.
+    :param refutations: number of times that the member has refuted a suspicion; an update with a
+        higher number is newer.
+    :param final: whether the incarnation has certainly ended.
     """
 
     identity: DaemonIdentity
@@ -23,12 +24,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """A daemon's state, sent as a request and answered with the other's own.
-
-    :param state_version: counts the changes of ``state``.
-    :param known_state_version: version of the receiver's state that the sender holds; 0 for none.
-    :param state: the state by provider; ``None`` if the receiver holds this version.
-    :param updates: recent news of other members.
+    """A daemon's state, sent as a request and answered with the receiver's own heartbeat.
+
+    :param ready: whether the sender accepts new work.
+    :param refutations: number of times that the sender has refuted a suspicion.
+    :param state_version: number of the current version of ``state``.
+    :param known_state_version: version of the receiver's state that the sender has; 0 for none.
+    :param state: the state by component; ``None`` if the receiver already has this version.
+    :param updates: recent updates on other members.
     """
 
     ready: bool
@@ -41,7 +44,10 @@
 
 @dataclass(frozen=True, slots=True)
 class IndirectProbe:
-    """Asks the receiver to send a heartbeat to another member."""
+    """Asks the receiver to send a heartbeat to another member.
+
+    :param timeout_s: time for that member to reply.
+    """
 
     incarnation: str
     timeout_s: float
@@ -49,26 +55,29 @@
 
 @dataclass(frozen=True, slots=True)
 class IndirectProbeResult:
-    """Tells whether that member replied."""
+    """The reply to an :class:`IndirectProbe`.
+
+    :param reached: whether the probed member replied in time.
+    """
 
     reached: bool
 
 
 @dataclass(frozen=True, slots=True)
 class MemberListRequest:
-    """Asks for all members."""
+    """Asks for the members that the receiver considers alive."""
 
 
 @dataclass(frozen=True, slots=True)
 class MemberList:
-    """All members that the sender knows, itself excluded."""
+    """The members that the sender considers alive, without itself; long lists are truncated."""
 
     members: tuple[MemberUpdate, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class LeaveNotice:
-    """The sender is stopping: it takes no new work and ends when its requests are answered."""
+    """The sender is stopping: it accepts no new work and exits when its requests are answered."""
 
 
 CONTROL_MESSAGES = (
--- a/berylproxy/peers/network.py
+++ b/berylproxy/peers/network.py
@@ -1,4 +1,4 @@
-"""The streams to the other daemons and the membership learnt from them."""
+"""The streams to the other daemons and the cluster membership maintained over them."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import replace
@@ -28,7 +28,7 @@
 from berylproxy.models import DaemonIdentity
 from berylproxy.peers.acceptor import Acceptor
 from berylproxy.peers.codec import MessageCodec
-from berylproxy.peers.control import Control
+from berylproxy.peers.control import MembershipService
 from berylproxy.peers.dialler import Dialler
 from berylproxy.peers.errors import (
     PeerAddressUnavailableError,
@@ -51,11 +51,11 @@
 class TcpPeerNetwork:
     """Implements :class:`berylproxy.peers.membership.PeerNetwork` over TCP.
 
-    Each daemon dials each other one and sends its requests and notices on the stream that it
-    dialled; replies come back on the same stream.
+    Each daemon dials every other daemon and sends its requests and notices on the stream that it
+    dialled. A reply is sent on the stream of its request.
 
     :param identity: this daemon; an empty address or port 0 is replaced by the bound address.
-    :param codec: knows the messages of the other concerns.
+    :param codec: encodes the messages of the other components.
     """
 
     def __init__(
@@ -68,7 +68,7 @@
         self.identity = identity
         self.counters = LinkCounters()
         self.table = MemberTable(
-            settings.dead_after_s, settings.forget_after_s, current_time, self._on_unknown
+            settings.dead_after_s, settings.forget_after_s, current_time, self._on_discovered
         )
         self._settings = settings
         self._codec = codec.extend(CONTROL_MESSAGES)
@@ -76,25 +76,25 @@
         self._router = MessageRouter(settings.max_running_requests, logger)
         self._dialled: dict[str, PeerLink] = {}
         self._accepted: dict[str, PeerLink] = {}
-        self._given_addresses: set[str] = set()
+        self._configured_addresses: set[str] = set()
         self._link_opened = Event()
         self._task_group: TaskGroup | None = None
-        self._dialler = Dialler(settings, self._serve_dialled, self._on_refused, logger)
+        self._dialler = Dialler(settings, self._serve_dialled, self._on_connection_refused, logger)
         self._acceptor = Acceptor(settings, self._make_handshake, self._serve_accepted, logger)
-        self._control = Control(self, settings, logger)
-        self.table.on_change(self._close_if_over)
+        self._membership = MembershipService(self, settings, logger)
+        self.table.on_change(self._close_if_ended)
 
     def handle_request(self, message_type: type, handler: RequestHandler) -> None:
-        """Registers what answers a type of request."""
+        """Registers the handler for requests of a type."""
         self._router.handle_request(message_type, handler)
 
     def handle_notice(self, message_type: type, handler: NoticeHandler) -> None:
-        """Registers what takes a type of notice."""
+        """Registers the handler for notices of a type."""
         self._router.handle_notice(message_type, handler)
 
-    def provide_heartbeat(self, name: str, provide: Callable[[], dict[str, Any]]) -> None:
-        """Adds a concern's state to the heartbeats."""
-        self._control.provide(name, provide)
+    def add_heartbeat_part(self, name: str, make_part: Callable[[], dict[str, Any]]) -> None:
+        """Adds a component's state to the heartbeats under its name."""
+        self._membership.add_heartbeat_part(name, make_part)
 
     def on_change(self, listener: Callable[[Member], None]) -> None:
         """Calls the listener when a member's status, readiness or state has changed."""
@@ -102,27 +102,29 @@
         def listen(member: Member) -> None:
             try:
                 listener(member)
-            except Exception:  # a concern's fault must not end the daemon
-                self._logger.exception("a change of {} was missed", member.identity.daemon_id)
+            except Exception:  # a listener's error must not end the daemon
+                self._logger.exception(
+                    "a listener failed on a change of member {}", member.identity.daemon_id
+                )
 
         self.table.on_change(listen)
 
     def add_address(self, address: str) -> None:
         """Adds the ``host:port`` of another daemon, to be dialled until it is removed."""
-        self._given_addresses.add(address)
+        self._configured_addresses.add(address)
         self._dial(address)
 
     def remove_address(self, address: str) -> None:
-        """Stops to dial an address when the member there is forgotten."""
-        self._given_addresses.discard(address)
+        """Stops dialling an address once the member there has ended or is removed."""
+        self._configured_addresses.discard(address)
 
     def forget_address(self, address: str) -> None:
-        """Stops to dial an address that was learnt from other daemons."""
+        """Stops dialling an address unless it was added explicitly or a member still uses it."""
         in_use = any(
             entry.identity.peer_address == address and not entry.member.is_final
             for entry in self.table.entries()
         )
-        if not in_use and address not in self._given_addresses:
+        if not in_use and address not in self._configured_addresses:
             self._dialler.remove(address)
 
     def members(self) -> list[Member]:
@@ -134,17 +136,25 @@
         links = (self._dialled.get(incarnation), self._accepted.get(incarnation))
         return [link for link in links if link is not None and not link.closed]
 
-    def silence_s(self, incarnation: str) -> float:
-        """Tells how long ago anything came from a member; infinite without an open stream."""
-        heard_s = max((link.last_received_s for link in self.links(incarnation)), default=-inf)
-        return current_time() - heard_s
+    def time_since_message_s(self, incarnation: str) -> float:
+        """Returns the time since anything was received from a member.
+
+        It is infinite without an open stream.
+        """
+        last_received_s = max(
+            (link.last_received_s for link in self.links(incarnation)), default=-inf
+        )
+        return current_time() - last_received_s
+
+    def prioritize_members(self, list_incarnations: Callable[[], Iterable[str]]) -> None:
+        """Sets the function that lists the incarnations to probe with priority.
 
-    def depend_on(self, list_incarnations: Callable[[], Iterable[str]]) -> None:
-        """Names members whose silence matters now: they are heard at least once a round."""
-        self._control.depend_on(list_incarnations)
+        Such a member gets a heartbeat in each round in which nothing was received from it lately.
+        """
+        self._membership.prioritize_members(list_incarnations)
 
     async def wait_for_link(self, incarnation: str, timeout_s: float) -> PeerLink | None:
-        """Waits until there is an open stream to a member."""
+        """Waits for an open stream to a member; returns ``None`` on timeout."""
         with move_on_after(timeout_s):
             while not self.links(incarnation):
                 await self._link_opened.wait()
@@ -155,7 +165,7 @@
 
         :raises PeerRequestRefusedError: if the other daemon answered with an error.
         :raises PeerUnreachableError: if the message was certainly not delivered.
-        :raises PeerLostError: if it may have been.
+        :raises PeerLostError: if it may have been delivered.
         """
         link = self._dialled.get(incarnation)
         if link is None:
@@ -163,7 +173,7 @@
         return await link.request(message, timeout_s)
 
     def notify(self, incarnation: str, message: Any) -> None:
-        """Queues a message without reply; drops and counts it if there is no stream."""
+        """Queues a one-way message; drops and counts it if there is no stream."""
         link = self._dialled.get(incarnation)
         if link is None:
             self.counters.dropped_notices += 1
@@ -171,48 +181,54 @@
             link.notify(message)
 
     def set_ready(self, ready: bool) -> None:
-        """Tells the others with the next heartbeats whether this daemon takes new work."""
-        self._control.ready = ready
+        """Sets whether this daemon accepts new work, as its next heartbeats report."""
+        self._membership.ready = ready
 
     def announce_leaving(self) -> None:
-        """Tells all members at once that this daemon is stopping."""
+        """Notifies all members that this daemon is stopping, without waiting for a heartbeat."""
         self.set_ready(False)
         for incarnation in list(self._dialled):
             self.notify(incarnation, LeaveNotice())
 
     async def drain(self, timeout_s: float) -> bool:
-        """Waits until received requests are answered and queues written; ``False`` if late."""
+        """Waits until all received requests are answered and all queues are written.
+
+        :returns: whether that was the case within the timeout.
+        """
         with move_on_after(timeout_s):
-            while self._is_busy():  # noqa: ASYNC110 - counters of many streams, read at a stop
+            while self._is_busy():  # noqa: ASYNC110 - polls many streams, only at shutdown
                 await sleep(DRAIN_INTERVAL_S)
         return not self._is_busy()
 
     async def run(self, *, task_status: TaskStatus[str] = TASK_STATUS_IGNORED) -> None:
-        """Listens, dials and sends heartbeats until cancelled; reports the bound address."""
+        """Listens, dials and sends heartbeats until cancelled.
+
+        Reports the bound address to the caller that starts it in a task group.
+        """
         host, port = split_address(self._settings.listen_address)
         listener = await _open_listener(host, port)
         async with listener, create_task_group() as task_group:
             bound = join_address(host, listener.extra(SocketAttribute.local_port))
-            self._take_bound_address(bound)
+            self._set_bound_address(bound)
             self._task_group = task_group
             self._router.start(task_group)
             task_group.start_soon(self._acceptor.run, listener, task_group)
             for address in self._settings.addresses:
                 self.add_address(address)
             self._dialler.start(task_group)
-            task_group.start_soon(self._control.run)
+            task_group.start_soon(self._membership.run)
             task_status.started(bound)
 
     def _is_busy(self) -> bool:
         links = [*self._dialled.values(), *self._accepted.values()]
         return any(link.is_busy for link in links)
 
-    def _take_bound_address(self, bound: str) -> None:
+    def _set_bound_address(self, bound: str) -> None:
         address = self.identity.peer_address
         if not address or split_address(address)[1] == 0:
             if split_address(bound)[0] in UNSPECIFIED_HOSTS:
                 raise PeerSettingsError(
-                    f"{bound} is no address that other daemons can dial",
+                    f"other daemons cannot dial the unspecified address {bound}",
                     hint="set the daemon's own peer address",
                 )
             self.identity = replace(self.identity, peer_address=bound)
@@ -222,7 +238,7 @@
     async def _serve_accepted(self, identity: DaemonIdentity, stream: ByteStream) -> None:
         older = self._accepted.get(identity.incarnation)
         if older is not None:
-            older.close()  # the dialling side has only one stream and has given this one up
+            older.close()  # the peer dials one stream at a time, so it has abandoned the older one
         await self._run_link(stream, identity, self._accepted)
 
     async def _serve_dialled(self, address: str, stream: ByteStream) -> bool:
@@ -248,7 +264,7 @@
         if identity.incarnation == self.identity.incarnation:
             raise PeerHandshakeError("this daemon dialled itself")
         if identity.daemon_id == self.identity.daemon_id:
-            raise PeerHandshakeError(f"another daemon is named {identity.daemon_id!r} too")
+            raise PeerHandshakeError(f"another daemon already uses the name {identity.daemon_id!r}")
         try:
             split_address(identity.peer_address)
         except PeerSettingsError as error:
@@ -272,19 +288,21 @@
         links[identity.incarnation] = link
         opened, self._link_opened = self._link_opened, Event()
         opened.set()
-        is_new = self.table.get(identity.incarnation) is None
-        entry = self.table.meet(identity)
-        self._add_learnt_address(identity.peer_address)
-        if is_new:
-            self._dialler.hurry(identity.peer_address)
+        is_new_member = self.table.get(identity.incarnation) is None
+        entry = self.table.note_contact(identity)
+        self._add_discovered_address(identity.peer_address)
+        if is_new_member:
+            self._dialler.redial_now(identity.peer_address)
         if links is self._dialled:
-            self._require_task_group().start_soon(self._control.greet, entry)
+            self._require_task_group().start_soon(self._membership.handle_new_stream, entry)
         try:
             await link.run()
         except PeerProtocolError as error:
-            self._logger.warning("closed the stream of {}: {}", identity.daemon_id, error.message)
+            self._logger.warning(
+                "protocol error; closed the stream of {}: {}", identity.daemon_id, error.message
+            )
         except Exception:
-            self._logger.exception("closed the stream of {}", identity.daemon_id)
+            self._logger.exception("unexpected error; closed the stream of {}", identity.daemon_id)
         finally:
             if links.get(identity.incarnation) is link:
                 del links[identity.incarnation]
@@ -292,28 +310,28 @@
 
     def _on_link_ended(self, entry: MemberEntry) -> None:
         if entry.leaving and not self.links(entry.identity.incarnation):
-            self.table.end(entry)
+            self.table.mark_ended(entry)
 
-    def _on_unknown(self, identity: DaemonIdentity) -> None:
-        self._add_learnt_address(identity.peer_address)
+    def _on_discovered(self, identity: DaemonIdentity) -> None:
+        self._add_discovered_address(identity.peer_address)
 
-    def _add_learnt_address(self, address: str) -> None:
+    def _add_discovered_address(self, address: str) -> None:
         try:
             self._dial(address)
         except PeerSettingsError as error:
-            self._logger.warning("ignored the address {}: {}", address, error.message)
+            self._logger.warning("ignored the peer address {}: {}", address, error.message)
 
     def _dial(self, address: str) -> None:
         if address != self.identity.peer_address:
             self._dialler.add(address)
 
-    def _on_refused(self, address: str) -> None:
+    def _on_connection_refused(self, address: str) -> None:
         for entry in self.table.entries():
-            is_there = entry.identity.peer_address == address
-            if is_there and not self.links(entry.identity.incarnation):
-                self.table.suspect(entry)
+            has_address = entry.identity.peer_address == address
+            if has_address and not self.links(entry.identity.incarnation):
+                self.table.mark_suspect(entry)
 
-    def _close_if_over(self, member: Member) -> None:
+    def _close_if_ended(self, member: Member) -> None:
         entry = self.table.get(member.identity.incarnation)
         if entry is not None and entry.member.is_final:
             for link in self.links(member.identity.incarnation):
@@ -322,7 +340,7 @@
 
     def _require_task_group(self) -> TaskGroup:
         if self._task_group is None:
-            raise RuntimeError("the network is not running")
+            raise RuntimeError("the peer network is not running")
         return self._task_group
 
 
--- a/berylproxy/peers/prober.py
+++ b/berylproxy/peers/prober.py
@@ -1,8 +1,8 @@
-"""Finds out which members live, at a cost that does not grow with their number.
+"""Detects which members are alive, at a cost that does not grow with their number.
 
 Each round sends heartbeats to a bounded number of members, in a shuffled order that reaches each
-of them once before any of them twice (SWIM, section 4.3). A member that does not reply is asked
-for through other members before it becomes suspect (SWIM, section 3.1).
+of them once before any of them twice (SWIM, section 4.3). A member that does not reply is probed
+indirectly, through other members, before it becomes suspect (SWIM, section 3.1).
 """
 
 from collections.abc import Awaitable, Callable, Iterable
@@ -19,13 +19,14 @@
 from berylproxy.peers.settings import PeerSettings
 from berylproxy.peers.table import MemberEntry, MemberTable
 
-PAUSE_LIMIT_S = 0.5
+PAUSE_LIMIT_S = 0.5  # a wait that overruns by more is taken for a pause of this daemon
 ROUND_JITTER = 0.1
-NEEDED_SILENCE_ROUNDS = 0.5  # so that a member is heard again within two rounds
+# Half a round, so that messages from a member arrive at most two rounds apart.
+PRIORITIZED_SILENCE_ROUNDS = 0.5
 
 
 class ProbeTransport(Protocol):
-    """What the prober needs of the streams."""
+    """The operations on streams that :class:`Prober` needs."""
 
     def links(self, incarnation: str) -> list[PeerLink]:
         """Lists the open streams of a member, the dialled one first."""
@@ -38,11 +39,12 @@
 
 
 class Prober:
-    """Sends the heartbeats and judges the silence.
+    """Sends heartbeats in rounds and marks members that cannot be reached as suspect.
 
     :param on_round: called at the start of each round.
-    :ivar list_needed: lists the members that get a heartbeat in each round that finds them silent,
-        as something here is given up unless they are heard.
+    :ivar list_prioritized: lists the incarnations to probe with priority: each gets a heartbeat in
+        every round in which nothing was received from it lately, as this daemon abandons work that
+        depends on a member unless messages from it arrive.
     """
 
     def __init__(
@@ -56,19 +58,19 @@
         self._table = table
         self._transport = transport
         self._on_round = on_round
-        self.list_needed: Callable[[], Iterable[str]] = tuple
-        self._order: list[str] = []
-        self._checked: set[str] = set()
+        self.list_prioritized: Callable[[], Iterable[str]] = tuple
+        self._probe_order: list[str] = []
+        self._running_checks: set[str] = set()
         self._resumed_s = 0.0
 
     async def run(self) -> None:
-        """Runs a round in every interval."""
+        """Runs one round in each heartbeat interval until cancelled."""
         async with create_task_group() as task_group:
             while True:
                 await self._sleep_between_rounds()
                 await self._on_round()
-                for entry in self._pick():
-                    self.check_soon(task_group, entry)
+                for entry in self._pick_members():
+                    self.start_check(task_group, entry)
 
     async def _sleep_between_rounds(self) -> None:
         planned_s = self._settings.heartbeat_interval_s * uniform(
@@ -79,32 +81,32 @@
         pause_s = current_time() - started_s - planned_s
         if pause_s > PAUSE_LIMIT_S:
             self._resumed_s = current_time()
-            self._table.postpone(pause_s)
+            self._table.extend_deadlines(pause_s)
 
-    def check_soon(self, task_group: TaskGroup, entry: MemberEntry) -> None:
-        """Begins to check a member unless that is under way."""
-        if entry.identity.incarnation not in self._checked:
-            self._checked.add(entry.identity.incarnation)
+    def start_check(self, task_group: TaskGroup, entry: MemberEntry) -> None:
+        """Starts a check of a member unless one is already running."""
+        if entry.identity.incarnation not in self._running_checks:
+            self._running_checks.add(entry.identity.incarnation)
             task_group.start_soon(self._check, entry)
 
-    async def reach(self, incarnation: str, timeout_s: float) -> bool:
-        """Sends a heartbeat on behalf of another daemon."""
+    async def probe_on_behalf(self, incarnation: str, timeout_s: float) -> bool:
+        """Sends a heartbeat on behalf of another daemon; returns whether the member replied."""
         entry = self._table.get(incarnation)
         return entry is not None and await self._transport.exchange_heartbeat(entry, timeout_s)
 
-    def _pick(self) -> list[MemberEntry]:
+    def _pick_members(self) -> list[MemberEntry]:
         picked = [entry for entry in self._table.entries() if self._has_stalled(entry)]
-        picked += self._list_silent_needed()
+        picked += self._list_silent_prioritized()
         for _ in range(self._settings.heartbeats_per_interval):
-            entry = self._next()
+            entry = self._next_member()
             if entry is None:
                 break
             picked.append(entry)
         return picked
 
-    def _list_silent_needed(self) -> list[MemberEntry]:
-        limit_s = current_time() - NEEDED_SILENCE_ROUNDS * self._settings.heartbeat_interval_s
-        found = (self._table.get(incarnation) for incarnation in self.list_needed())
+    def _list_silent_prioritized(self) -> list[MemberEntry]:
+        limit_s = current_time() - PRIORITIZED_SILENCE_ROUNDS * self._settings.heartbeat_interval_s
+        found = (self._table.get(incarnation) for incarnation in self.list_prioritized())
         return [
             entry
             for entry in found
@@ -118,14 +120,14 @@
     def _has_stalled(self, entry: MemberEntry) -> bool:
         limit_s = current_time() - self._settings.heartbeat_timeout_s
         links = self._transport.links(entry.identity.incarnation)
-        return any(link.has_waiting_requests and link.last_received_s < limit_s for link in links)
-
-    def _next(self) -> MemberEntry | None:
-        if not self._order:
-            self._order = [entry.identity.incarnation for entry in self._probed_entries()]
-            shuffle(self._order)
-        while self._order:
-            entry = self._table.get(self._order.pop())
+        return any(link.has_pending_requests and link.last_received_s < limit_s for link in links)
+
+    def _next_member(self) -> MemberEntry | None:
+        if not self._probe_order:
+            self._probe_order = [entry.identity.incarnation for entry in self._probed_entries()]
+            shuffle(self._probe_order)
+        while self._probe_order:
+            entry = self._table.get(self._probe_order.pop())
             if entry is not None and entry.member.status is not MemberStatus.DEAD:
                 return entry
         return None
@@ -138,7 +140,7 @@
         try:
             await self._check_in_two_stages(entry)
         finally:
-            self._checked.discard(entry.identity.incarnation)
+            self._running_checks.discard(entry.identity.incarnation)
 
     async def _check_in_two_stages(self, entry: MemberEntry) -> None:
         started_s = current_time()
@@ -151,12 +153,12 @@
         if self._was_paused(started_s, total_s):
             return
         links = self._transport.links(entry.identity.incarnation)
-        heard = reached or any(link.last_received_s > started_s for link in links)
+        is_reachable = reached or any(link.last_received_s > started_s for link in links)
         for link in links:
             if link.last_received_s < started_s and link.opened_s < started_s:
                 link.close()
-        if not heard and entry.last_heard_s < started_s:
-            self._table.suspect(entry)
+        if not is_reachable and entry.last_contact_s < started_s:
+            self._table.mark_suspect(entry)
 
     def _was_paused(self, started_s: float, expected_s: float) -> bool:
         elapsed_s = current_time() - started_s
@@ -169,11 +171,11 @@
         async def try_directly() -> None:
             reached.append(await self._transport.exchange_heartbeat(entry, timeout_s))
 
-        async def try_through(helper: MemberEntry) -> None:
+        async def try_through(intermediary: MemberEntry) -> None:
             probe = IndirectProbe(entry.identity.incarnation, timeout_s)
             try:
                 result = await self._transport.request(
-                    helper.identity.incarnation, probe, timeout_s
+                    intermediary.identity.incarnation, probe, timeout_s
                 )
             except PeerError:
                 return
@@ -181,28 +183,33 @@
 
         async with create_task_group() as task_group:
             task_group.start_soon(try_directly)
-            for helper in self._pick_helpers(entry):
-                task_group.start_soon(try_through, helper)
+            for intermediary in self._pick_intermediaries(entry):
+                task_group.start_soon(try_through, intermediary)
         return any(reached)
 
-    def _pick_helpers(self, entry: MemberEntry) -> list[MemberEntry]:
+    def _pick_intermediaries(self, entry: MemberEntry) -> list[MemberEntry]:
         alive = [
             other
             for other in self._table.entries()
             if other is not entry and other.member.status is MemberStatus.ALIVE
         ]
-        return pick_helpers(alive, self._table.own_domain, self._settings.indirect_probes)
+        return pick_intermediaries(
+            alive, self._table.own_failure_domain, self._settings.indirect_probes
+        )
 
 
-def pick_helpers(alive: list[MemberEntry], own_domain: str, count: int) -> list[MemberEntry]:
-    """Picks members at random, from as many failure domains as possible, the own one last.
+def pick_intermediaries(
+    alive: list[MemberEntry], own_failure_domain: str, count: int
+) -> list[MemberEntry]:
+    """Picks random members to send indirect probes, from as many failure domains as possible.
 
-    Where two failure domains are cut off from each other, a third one reaches both.
+    Members of this daemon's own failure domain come last: where two failure domains are cut off
+    from each other, a third one can reach both.
     """
     by_domain: dict[str, list[MemberEntry]] = {}
     for entry in sample(alive, len(alive)):
         by_domain.setdefault(entry.identity.failure_domain, []).append(entry)
-    own = by_domain.pop(own_domain, [])
+    own = by_domain.pop(own_failure_domain, [])
     rounds = zip_longest(*by_domain.values())
     others = [entry for entries in rounds for entry in entries if entry is not None]
     return [*others, *own][:count]
--- a/berylproxy/peers/router.py
+++ b/berylproxy/peers/router.py
@@ -1,4 +1,4 @@
-"""Hands received requests and notices to their handlers."""
+"""Dispatches received requests and notices to their handlers."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any
@@ -19,7 +19,7 @@
 
 
 class MessageRouter:
-    """Calls the handler registered for a message's type and sends its reply or error back."""
+    """Calls the handler registered for a message's type and returns its reply or error."""
 
     def __init__(self, max_running_requests: int, logger: Logger) -> None:
         self._max_running_requests = max_running_requests
@@ -29,21 +29,26 @@
         self._task_group: TaskGroup | None = None
 
     def start(self, task_group: TaskGroup) -> None:
-        """Sets where requests are handled: they outlive the stream that brought them."""
+        """Sets the task group in which requests are handled.
+
+        It belongs to the network, so that a request can outlive the stream it was received on.
+        """
         self._task_group = task_group
 
     def handle_request(self, message_type: type, handler: RequestHandler) -> None:
-        """Registers what answers a type of request."""
+        """Registers the handler for requests of a type."""
         self._request_handlers[message_type] = handler
 
     def handle_notice(self, message_type: type, handler: NoticeHandler) -> None:
-        """Registers what takes a type of notice."""
+        """Registers the handler for notices of a type."""
         self._notice_handlers[message_type] = handler
 
     def route_request(self, link: PeerLink, frame: RequestFrame) -> None:
-        """Begins to answer a request, or refuses it while too many run."""
+        """Starts the handler of a request, or refuses it while too many of the stream run."""
         if link.running_requests >= self._max_running_requests:
-            error = PeerOverloadedError("too many requests run", retry_after_s=OVERLOAD_RETRY_S)
+            error = PeerOverloadedError(
+                "too many requests of this stream are running", retry_after_s=OVERLOAD_RETRY_S
+            )
             link.reply(_make_refusal(frame.request_id, error))
             return
         if self._task_group is None:
@@ -52,26 +57,35 @@
         self._task_group.start_soon(self._answer, link, frame)
 
     def route_notice(self, link: PeerLink, message: Any) -> None:
-        """Hands a notice over."""
+        """Calls the handler of a notice.
+
+        :raises PeerProtocolError: if notices of this type have no handler.
+        """
         handler = self._notice_handlers.get(type(message))
         if handler is None:
-            raise PeerProtocolError(f"{type(message).__name__} is not a notice here")
+            raise PeerProtocolError(f"no handler for notices of type {type(message).__name__}")
         try:
             handler(link.identity, message)
         except Exception:
-            self._logger.exception("a notice of {} failed", link.identity.daemon_id)
+            self._logger.exception("failed to handle a notice from {}", link.identity.daemon_id)
 
     async def _answer(self, link: PeerLink, frame: RequestFrame) -> None:
         handler = self._request_handlers.get(type(frame.message))
         try:
             if handler is None:
-                raise PeerProtocolError(f"{type(frame.message).__name__} is not a request here")
+                raise PeerProtocolError(
+                    f"no handler for requests of type {type(frame.message).__name__}"
+                )
             link.reply(ReplyFrame(frame.request_id, await handler(link.identity, frame.message)))
         except BerylproxyError as error:
             link.reply(_make_refusal(frame.request_id, error))
         except Exception:
-            self._logger.exception("a request of {} failed", link.identity.daemon_id)
-            link.reply(_make_refusal(frame.request_id, BerylproxyError("the request failed")))
+            self._logger.exception("failed to handle a request from {}", link.identity.daemon_id)
+            link.reply(
+                _make_refusal(
+                    frame.request_id, BerylproxyError("internal error in the request's handler")
+                )
+            )
         finally:
             link.running_requests -= 1
 
--- a/berylproxy/peers/table.py
+++ b/berylproxy/peers/table.py
@@ -1,4 +1,4 @@
-"""The members as this daemon sees them, without any input or output."""
+"""The member table: this daemon's view of the other members, without any I/O."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
@@ -8,7 +8,7 @@
 from berylproxy.peers.membership import Member, MemberStatus
 from berylproxy.peers.messages import Heartbeat, MemberUpdate
 
-SPREAD_FACTOR = 2  # how many times log2(members) each update is sent on
+RETRANSMIT_FACTOR = 2  # each update is sent on this many times log2(members) times
 MAX_UPDATES_PER_MESSAGE = 8
 STATUS_RANK = {MemberStatus.ALIVE: 0, MemberStatus.SUSPECT: 1, MemberStatus.DEAD: 2}
 
@@ -17,11 +17,13 @@
 
 @dataclass(slots=True)
 class MemberEntry:
-    """A member with what the table needs to know of it.
+    """A member with the bookkeeping of the table.
 
-    :param leaving: whether it has said that it stops.
-    :param known_state_version: version of its state held here.
-    :param sent_state_version: version of the own state that it holds.
+    :param refutations: number of times that the member has refuted a suspicion.
+    :param leaving: whether the member has announced that it is stopping.
+    :param known_state_version: version of the member's state that this daemon has.
+    :param sent_state_version: version of this daemon's state that the member has.
+    :param last_contact_s: time of the member's last handshake or heartbeat.
     """
 
     member: Member
@@ -29,7 +31,7 @@
     leaving: bool = False
     known_state_version: int = 0
     sent_state_version: int = 0
-    last_heard_s: float = -inf
+    last_contact_s: float = -inf
 
     @property
     def identity(self) -> DaemonIdentity:
@@ -37,20 +39,23 @@
         return self.member.identity
 
     def make_update(self) -> MemberUpdate:
-        """Describes the member for others."""
+        """Returns this daemon's view of the member as an update for other daemons."""
         return MemberUpdate(
             self.identity, self.member.status, self.refutations, self.member.is_final
         )
 
 
 class MemberTable:
-    """All members met in a handshake, and the news of them still to be spread.
+    """All members that have completed a handshake, and the updates on them to be disseminated.
 
-    Suspicion, refutation and the spreading of news with other messages follow SWIM (Das, Gupta and
-    Motivala, 2002), sections 4.1 and 4.2.
+    Suspicion, refutation and the dissemination of updates in other messages follow SWIM (Das,
+    Gupta and Motivala, 2002), sections 4.1 and 4.2.
 
-    :param clock: current time in seconds.
-    :param on_unknown: called with each daemon that others hold for alive and that was never met.
+    :param dead_after_s: time after which a suspect member is declared dead.
+    :param forget_after_s: time after which a dead member is removed.
+    :param clock: returns the current time in seconds.
+    :param on_discovered: called with each daemon that other members report as alive and that is
+        not in the table.
     """
 
     def __init__(
@@ -58,33 +63,33 @@
         dead_after_s: float,
         forget_after_s: float,
         clock: Callable[[], float],
-        on_unknown: Callable[[DaemonIdentity], None],
+        on_discovered: Callable[[DaemonIdentity], None],
     ) -> None:
         self.refutations = 0
         self._dead_after_s = dead_after_s
         self._forget_after_s = forget_after_s
         self._clock = clock
-        self._on_unknown = on_unknown
+        self._on_discovered = on_discovered
         self._entries: dict[str, MemberEntry] = {}
-        self._spread_left: dict[str, int] = {}
-        self._own: DaemonIdentity | None = None
+        self._sends_left: dict[str, int] = {}
+        self._own_identity: DaemonIdentity | None = None
         self._listeners: list[OnChange] = []
 
     def set_own_identity(self, identity: DaemonIdentity) -> None:
-        """Tells the table whose it is."""
-        self._own = identity
+        """Sets the identity of this daemon."""
+        self._own_identity = identity
 
     @property
-    def own_domain(self) -> str:
+    def own_failure_domain(self) -> str:
         """The failure domain of this daemon; empty before its identity is known."""
-        return self._own.failure_domain if self._own is not None else ""
+        return self._own_identity.failure_domain if self._own_identity is not None else ""
 
     def on_change(self, listener: OnChange) -> None:
         """Calls the listener when a member's status or heartbeat has changed."""
         self._listeners.append(listener)
 
     def get(self, incarnation: str) -> MemberEntry | None:
-        """Finds a member by incarnation."""
+        """Returns the member with an incarnation, or ``None``."""
         return self._entries.get(incarnation)
 
     def entries(self) -> list[MemberEntry]:
@@ -92,144 +97,153 @@
         return list(self._entries.values())
 
     def members(self) -> list[Member]:
-        """Lists members, alive ones first; of each daemon only the current incarnation."""
-        current = {entry.identity.daemon_id: entry for entry in self._by_finality()}
+        """Lists the members, alive ones first, with only the current incarnation of each daemon."""
+        current = {entry.identity.daemon_id: entry for entry in self._sorted_ended_first()}
         members = [entry.member for entry in current.values()]
         return sorted(members, key=lambda member: STATUS_RANK[member.status])
 
-    def meet(self, identity: DaemonIdentity) -> MemberEntry:
-        """Takes in a daemon that has just completed a handshake.
+    def note_contact(self, identity: DaemonIdentity) -> MemberEntry:
+        """Records a handshake or heartbeat of a daemon and returns its entry, adding a new one.
 
         A new incarnation with the daemon name or the address of an older one ends the older one.
         """
         entry = self._entries.get(identity.incarnation)
         if entry is None:
             for older in self.entries():
-                if _is_succeeded_by(older.identity, identity):
-                    self.end(older)
-            entry = MemberEntry(Member(identity, MemberStatus.ALIVE, changed_s=self._clock()))
+                if _is_superseded_by(older.identity, identity):
+                    self.mark_ended(older)
+            entry = MemberEntry(
+                Member(identity, MemberStatus.ALIVE, status_changed_s=self._clock())
+            )
             self._entries[identity.incarnation] = entry
-            self._changed(entry)
-        entry.last_heard_s = self._clock()
+            self._announce_change(entry)
+        entry.last_contact_s = self._clock()
         return entry
 
-    def take_heartbeat(self, entry: MemberEntry, heartbeat: Heartbeat) -> None:
-        """Applies a heartbeat that came from the member itself."""
-        entry.last_heard_s = self._clock()
+    def apply_heartbeat(self, entry: MemberEntry, heartbeat: Heartbeat) -> None:
+        """Applies a heartbeat received from the member itself."""
+        entry.last_contact_s = self._clock()
         entry.sent_state_version = heartbeat.known_state_version
         for update in heartbeat.updates:
-            self.take_update(update)
+            self.apply_update(update)
         member = entry.member
-        is_news = member.ready != heartbeat.ready
+        has_changed = member.ready != heartbeat.ready
         member.ready = heartbeat.ready
         if heartbeat.state is not None and heartbeat.state_version != entry.known_state_version:
             member.heartbeat = heartbeat.state
             entry.known_state_version = heartbeat.state_version
-            is_news = True
-        self._apply(entry, MemberStatus.ALIVE, heartbeat.refutations, False)
-        if is_news:
-            self._tell(entry)
+            has_changed = True
+        self._apply_status(entry, MemberStatus.ALIVE, heartbeat.refutations, False)
+        if has_changed:
+            self._notify_listeners(entry)
 
-    def take_update(self, update: MemberUpdate) -> None:
-        """Applies another daemon's news.
+    def apply_update(self, update: MemberUpdate) -> None:
+        """Applies an update received from another daemon.
 
-        News alone add nobody: an unknown daemon becomes a member by its own handshake.
+        An update alone adds no member: an unknown daemon becomes a member by its own handshake.
         """
         identity = update.identity
-        if self._own is not None and identity.incarnation == self._own.incarnation:
+        if (
+            self._own_identity is not None
+            and identity.incarnation == self._own_identity.incarnation
+        ):
             self._refute(update)
             return
         entry = self._entries.get(identity.incarnation)
         if entry is not None:
-            self._apply(entry, update.status, update.refutations, update.final)
+            self._apply_status(entry, update.status, update.refutations, update.final)
         elif update.status is MemberStatus.ALIVE:
-            self._on_unknown(identity)
+            self._on_discovered(identity)
 
-    def suspect(self, entry: MemberEntry) -> None:
-        """Marks a member that was not reached as suspect; ends it if it was leaving."""
+    def mark_suspect(self, entry: MemberEntry) -> None:
+        """Marks a member that cannot be reached as suspect, or as ended if it was leaving."""
         if entry.leaving:
-            self.end(entry)
+            self.mark_ended(entry)
             return
-        self._apply(entry, MemberStatus.SUSPECT, entry.refutations, False)
+        self._apply_status(entry, MemberStatus.SUSPECT, entry.refutations, False)
 
-    def end(self, entry: MemberEntry) -> None:
-        """Marks an incarnation as certainly over."""
-        self._apply(entry, MemberStatus.DEAD, entry.refutations, True)
+    def mark_ended(self, entry: MemberEntry) -> None:
+        """Marks an incarnation as dead and certainly ended."""
+        self._apply_status(entry, MemberStatus.DEAD, entry.refutations, True)
 
-    def leave(self, entry: MemberEntry) -> None:
-        """Marks a member that is stopping: still alive, but not ready for new work."""
+    def mark_leaving(self, entry: MemberEntry) -> None:
+        """Marks a member as stopping: it is still alive, but accepts no new work."""
         entry.leaving = True
         entry.member.ready = False
-        self._tell(entry)
+        self._notify_listeners(entry)
 
     def expire(self) -> list[MemberEntry]:
-        """Gives up members that stayed suspect and forgets old dead ones; returns the forgotten."""
+        """Declares members dead that stayed suspect, and removes those that have been dead long.
+
+        :returns: the removed members.
+        """
         now_s = self._clock()
         forgotten = []
         for entry in self.entries():
-            age_s = now_s - entry.member.changed_s
+            age_s = now_s - entry.member.status_changed_s
             if entry.member.status is MemberStatus.SUSPECT and age_s >= self._dead_after_s:
-                self._apply(entry, MemberStatus.DEAD, entry.refutations, False)
+                self._apply_status(entry, MemberStatus.DEAD, entry.refutations, False)
             elif entry.member.status is MemberStatus.DEAD and age_s >= self._forget_after_s:
                 self._entries.pop(entry.identity.incarnation)
-                self._spread_left.pop(entry.identity.incarnation, None)
+                self._sends_left.pop(entry.identity.incarnation, None)
                 forgotten.append(entry)
         return forgotten
 
-    def postpone(self, pause_s: float) -> None:
-        """Moves all limits by a time in which this daemon itself did not run."""
+    def extend_deadlines(self, pause_s: float) -> None:
+        """Extends all deadlines by a time in which this daemon itself was paused."""
         for entry in self.entries():
-            entry.member.changed_s += pause_s
+            entry.member.status_changed_s += pause_s
 
     def pick_updates(self, receiver: MemberEntry | None) -> tuple[MemberUpdate, ...]:
-        """Picks the news to send along, those sent least often first.
+        """Picks the updates to include in a message, those sent least often first.
 
-        A receiver that is not taken for alive is told so first and can refute it.
+        For a receiver that is considered suspect or dead, the update on the receiver itself comes
+        first, so that it can refute this.
         """
         picked = []
         if receiver is not None and receiver.member.status is not MemberStatus.ALIVE:
             picked.append(receiver.make_update())
-        newest = sorted(self._spread_left, key=self._spread_left.__getitem__, reverse=True)
-        for incarnation in newest[: MAX_UPDATES_PER_MESSAGE - len(picked)]:
+        least_sent = sorted(self._sends_left, key=self._sends_left.__getitem__, reverse=True)
+        for incarnation in least_sent[: MAX_UPDATES_PER_MESSAGE - len(picked)]:
             picked.append(self._entries[incarnation].make_update())
-            self._spread_left[incarnation] -= 1
-            if not self._spread_left[incarnation]:
-                del self._spread_left[incarnation]
+            self._sends_left[incarnation] -= 1
+            if not self._sends_left[incarnation]:
+                del self._sends_left[incarnation]
         return tuple(picked)
 
-    def _by_finality(self) -> Iterable[MemberEntry]:
+    def _sorted_ended_first(self) -> Iterable[MemberEntry]:
         return sorted(
             self._entries.values(),
-            key=lambda entry: (not entry.member.is_final, entry.member.changed_s),
+            key=lambda entry: (not entry.member.is_final, entry.member.status_changed_s),
         )
 
     def _refute(self, update: MemberUpdate) -> None:
         if update.status is not MemberStatus.ALIVE and update.refutations >= self.refutations:
             self.refutations = update.refutations + 1
 
-    def _apply(
+    def _apply_status(
         self, entry: MemberEntry, status: MemberStatus, refutations: int, final: bool
     ) -> None:
         old = (entry.member.is_final, entry.refutations, STATUS_RANK[entry.member.status])
         new = (final, refutations, STATUS_RANK[status])
         if new <= old:
             return
-        is_news = entry.member.status is not status or entry.member.is_final is not final
+        has_changed = entry.member.status is not status or entry.member.is_final is not final
         entry.member.is_final, entry.refutations = final, refutations
-        if is_news:
+        if has_changed:
             entry.member.status = status
-            entry.member.changed_s = self._clock()
-            self._changed(entry)
+            entry.member.status_changed_s = self._clock()
+            self._announce_change(entry)
 
-    def _changed(self, entry: MemberEntry) -> None:
-        times = SPREAD_FACTOR * ceil(log2(len(self._entries) + 2))
-        self._spread_left[entry.identity.incarnation] = times
-        self._tell(entry)
+    def _announce_change(self, entry: MemberEntry) -> None:
+        send_count = RETRANSMIT_FACTOR * ceil(log2(len(self._entries) + 2))
+        self._sends_left[entry.identity.incarnation] = send_count
+        self._notify_listeners(entry)
 
-    def _tell(self, entry: MemberEntry) -> None:
+    def _notify_listeners(self, entry: MemberEntry) -> None:
         for listener in self._listeners:
             listener(entry.member)
 
 
-def _is_succeeded_by(older: DaemonIdentity, newer: DaemonIdentity) -> bool:
+def _is_superseded_by(older: DaemonIdentity, newer: DaemonIdentity) -> bool:
     return older.daemon_id == newer.daemon_id or older.peer_address == newer.peer_address
--- a/tests/peers/handshake.feature
+++ b/tests/peers/handshake.feature
@@ -23,14 +23,14 @@
     When a peer dials a listener that reflects its proof
     Then the peer handshake fails with "peer_handshake_failed" saying "no shared key"
 
-  Scenario: An older version is told both ranges
-    When an alien sends "a" a hello of versions 0 to 0
-    Then the alien is told "peer_version_unsupported" with the versions 1 to 1
-    And peer "a" has logged one refusal saying "versions 1 to 1 are spoken here, 0 to 0 there"
+  Scenario: A daemon of an older version is sent both version ranges
+    When a foreign program sends "a" a hello of versions 0 to 0
+    Then the foreign program is refused with "peer_version_unsupported" and the versions 1 to 1
+    And peer "a" has logged one refusal saying "1 to 1 supported here, 0 to 0 by the other side"
 
-  Scenario Outline: Aliens are closed with one log line
-    When an alien sends "a" <what>
-    Then the alien is closed
+  Scenario Outline: Foreign programs are disconnected with one log line
+    When a foreign program sends "a" <what>
+    Then the foreign program is disconnected
     And peer "a" has logged one refusal saying "<words>"
     And a genuine peer gets its stream to "a"
 
@@ -42,23 +42,23 @@
       | a long list           | not a daemon               |
       | nothing and closes    | the stream ended           |
 
-  Scenario: A silent alien is closed with one log line
+  Scenario: A foreign program that sends nothing is disconnected with one log line
     Given a listening peer "brief" that allows 0.2 s for a handshake
-    When an alien sends "brief" nothing and waits
-    Then the alien is closed
-    And peer "brief" has logged one refusal saying "no handshake in time"
+    When a foreign program sends "brief" nothing and waits
+    Then the foreign program is disconnected
+    And peer "brief" has logged one refusal saying "the handshake timed out"
     And a genuine peer gets its stream to "brief"
 
-  Scenario: A connection that is reset before it is looked at ends nothing else
+  Scenario: A connection that is reset before it is accepted affects no other connection
     Given a listening peer "busy"
-    When an alien connects to "busy" and resets the connection while "busy" is paused
+    When a foreign program connects to "busy" and resets the connection while "busy" is paused
     Then a genuine peer gets its stream to "busy"
 
   Scenario: A flood of connections is held off and costs one log line
-    When 40 silent aliens connect to "a", which allows 4 handshakes
-    Then 36 aliens are closed at once
+    When 40 foreign programs that send nothing connect to "a", which allows 4 handshakes
+    Then 36 foreign programs are disconnected at once
     And peer "a" has logged one refusal saying "too many connections"
-    And a genuine peer gets its stream to "a" when the silent aliens are gone
+    And a genuine peer gets its stream to "a" when the foreign programs are gone
 
   Scenario: Without keys only loopback addresses are allowed
     Then peer settings without keys for "10.0.0.1:7000" fail with "peer_settings_invalid"
--- a/tests/peers/streams.feature
+++ b/tests/peers/streams.feature
@@ -8,7 +8,7 @@
     When "a" asks "b" for "never" over the stream
     Then the peer request fails with "peer_lost"
     When "a" sends "b" 500 notices and a request
-    Then "b" has got the 500 notices in order
+    Then "b" has received the 500 notices in order
 
   Scenario: A message that is too large is not sent and harms nothing
     Given two peers "a" and "b" that know each other
@@ -22,14 +22,14 @@
     When "a" asks an unknown incarnation over the stream
     Then the peer request fails with "peer_unreachable"
 
-  Scenario: Crossed and repeated replies find their own request or nothing
+  Scenario: Reordered and repeated replies are matched to their requests or dropped
     Given a peer "a" with a raw member that answers three questions in reverse, twice
     When "a" asks the raw member three questions at once
     Then each peer question has its own answer
     And "a" has dropped 3 late peer replies
 
   Scenario: A stream that breaks in mid-message loses the request and is dialled again
-    Given a peer "a" with a raw member that breaks off in mid-reply
+    Given a peer "a" with a raw member that closes the stream in the middle of a reply
     When "a" asks the raw member a question
     Then the peer request fails with "peer_lost"
     And "a" dials the raw member a second time
@@ -61,10 +61,10 @@
   Scenario: A daemon that stops first answers what it has received
     Given two peers "a" and "b" that know each other
     When "a" has asked "b" for "later" and "b" drains its streams
-    Then "b" is drained only when "a" has got its peer answer
+    Then "b" is drained only when "a" has received its peer answer
 
   Scenario: A message of the greatest size passes among others
     Given two peers "a" and "b" that know each other
-    When "a" sends "b" the greatest notice among 100 small ones and a request
+    When "a" sends "b" the largest notice among 100 small ones and a request
     Then the peer answer is "last"
-    And "b" has got all 101 notices
+    And "b" has received all 101 notices
--- a/tests/steps/durable_member_steps.py
+++ b/tests/steps/durable_member_steps.py
@@ -29,8 +29,8 @@
         identity=DaemonIdentity("d0", "i0", "a", "127.0.0.1:1"),
         handle_request=lambda *_: None,
         handle_notice=lambda *_: None,
-        provide_heartbeat=lambda *_: None,
-        depend_on=lambda *_: None,
+        add_heartbeat_part=lambda *_: None,
+        prioritize_members=lambda *_: None,
         members=list,
         links=lambda _: [],
     )
--- a/tests/steps/peers_codec_steps.py
+++ b/tests/steps/peers_codec_steps.py
@@ -41,7 +41,7 @@
 
 
 def run_examples(count, strategy, check):
-    """Runs a check on reproducible random examples."""
+    """Runs a check on random examples, generated from a fixed seed."""
     run = settings(
         max_examples=count,
         deadline=None,
@@ -58,7 +58,7 @@
         return
 
 
-@then("{count:d} random peer messages come out of the codec as they went in, cut at random")
+@then("{count:d} random peer messages split at random are decoded as they were encoded")
 def step_round_trip(context, count):
     def check(example):
         frames, cut = example
@@ -87,7 +87,7 @@
     run_examples(count, st.tuples(FRAMES, COUNTS, st.integers(0, 255)), check)
 
 
-@then("a peer message with a further field is accepted")
+@then("a peer message with an additional field is accepted")
 def step_further_field(context):
     data = FULL_CODEC.encode(NoticeFrame(News("x")))
     longer = data.replace(b"\x81\xa4text", b"\x82\xa5added\x01\xa4text")
--- a/tests/steps/peers_handshake_steps.py
+++ b/tests/steps/peers_handshake_steps.py
@@ -25,7 +25,7 @@
 )
 from tests.support.peer_scenario import (
     call,
-    portal_of,
+    get_portal,
     start,
     start_node,
     wait,
@@ -116,7 +116,7 @@
     assert context.peers[name].network.members() == []
 
 
-ALIEN_BYTES = {
+FOREIGN_BYTES = {
     "an HTTP request": b"GET / HTTP/1.1\r\nHost: a\r\n\r\n",
     "random bytes": bytes(range(255, 0, -7)),
     "a long frame": b"\xc6\x7f\xff\xff\xff" + bytes(8192),
@@ -126,7 +126,7 @@
 }
 
 
-def send_as_alien(context, name, data):
+def send_as_foreign_program(context, name, data):
     async def send():
         stream = await connect_tcp(*split_address(context.peers[name].address))
         if data is None:
@@ -139,24 +139,24 @@
     context.peer_received = call(context, send)
 
 
-@when('an alien sends "{name}" a hello of versions {oldest:d} to {newest:d}')
+@when('a foreign program sends "{name}" a hello of versions {oldest:d} to {newest:d}')
 def step_send_version(context, name, oldest, newest):
     hello = Hello(newest, oldest, "berylproxy", make_identity("older"), bytes(32))
-    send_as_alien(context, name, HANDSHAKE_CODEC.encode(NoticeFrame(hello)))
+    send_as_foreign_program(context, name, HANDSHAKE_CODEC.encode(NoticeFrame(hello)))
 
 
-@when('an alien sends "{name}" {what}')
-def step_send_alien(context, name, what):
-    send_as_alien(context, name, ALIEN_BYTES[what])
+@when('a foreign program sends "{name}" {what}')
+def step_send_foreign(context, name, what):
+    send_as_foreign_program(context, name, FOREIGN_BYTES[what])
 
 
-@then("the alien is closed")
-def step_alien_closed(context):
+@then("the foreign program is disconnected")
+def step_foreign_closed(context):
     assert context.peer_received == b"", context.peer_received
 
 
-@then('the alien is told "{code}" with the versions {oldest:d} to {newest:d}')
-def step_alien_told(context, code, oldest, newest):
+@then('the foreign program is refused with "{code}" and the versions {oldest:d} to {newest:d}')
+def step_foreign_refused(context, code, oldest, newest):
     decoder = HANDSHAKE_CODEC.make_decoder(4096)
     frames = list(decoder.feed(context.peer_received))
     refusal = frames[-1].message
@@ -176,10 +176,13 @@
 def step_genuine(context, name):
     listening = context.peers[name]
     genuine = start_node(context, "genuine", addresses=(listening.address,))
-    wait(context, genuine, lambda: genuine.knows(listening))
+    wait(context, genuine, lambda: genuine.has_live_stream_to(listening))
 
 
-@when('{count:d} silent aliens connect to "{name}", which allows {limit:d} handshakes')
+@when(
+    '{count:d} foreign programs that send nothing connect to "{name}", '
+    "which allows {limit:d} handshakes"
+)
 def step_flood(context, count, name, limit):
     node = start_node(context, name, max_handshakes=limit)
 
@@ -187,10 +190,10 @@
         address = split_address(node.address)
         return [await connect_tcp(*address) for _ in range(count)]
 
-    context.peer_aliens = call(context, connect)
+    context.foreign_streams = call(context, connect)
 
 
-@then("{count:d} aliens are closed at once")
+@then("{count:d} foreign programs are disconnected at once")
 def step_flood_closed(context, count):
     closed = []
 
@@ -202,17 +205,17 @@
 
     async def watch_all():
         async with create_task_group() as task_group:
-            for stream in context.peer_aliens:
+            for stream in context.foreign_streams:
                 task_group.start_soon(watch, stream, task_group.cancel_scope)
 
     call(context, watch_all)
     assert len(closed) == count, len(closed)
 
 
-@then('a genuine peer gets its stream to "{name}" when the silent aliens are gone')
+@then('a genuine peer gets its stream to "{name}" when the foreign programs are gone')
 def step_genuine_later(context, name):
     async def close():
-        for stream in context.peer_aliens:
+        for stream in context.foreign_streams:
             await stream.aclose()
 
     call(context, close)
@@ -244,12 +247,12 @@
     raise AssertionError("the settings were accepted")
 
 
-@when('an alien connects to "{name}" and resets the connection while "{paused}" is paused')
+@when('a foreign program connects to "{name}" and resets the connection while "{paused}" is paused')
 def step_reset_unseen(context, name, paused):
     host, port = split_address(context.peers[paused].address)
-    pause = portal_of(context).start_task_soon(time.sleep, PAUSE_S)
+    pause = get_portal(context).start_task_soon(time.sleep, PAUSE_S)
     time.sleep(PAUSE_S / 2)
-    alien = socket.create_connection((host, port))
-    alien.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
-    alien.close()
+    foreign_program = socket.create_connection((host, port))
+    foreign_program.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
+    foreign_program.close()
     pause.result()
--- a/tests/steps/peers_membership_steps.py
+++ b/tests/steps/peers_membership_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the membership learnt from the streams."""
+"""Steps for the membership maintained over the streams."""
 
 import json
 import signal
@@ -12,14 +12,14 @@
 from berylproxy.peers.errors import PeerHandshakeError
 from berylproxy.peers.membership import MemberStatus
 from tests.support.peer_networks import (
-    NEVER_S,
+    UNLIMITED_S,
     Answer,
     Relay,
     dial_raw,
 )
 from tests.support.peer_scenario import (
-    ask,
     call,
+    send_question,
     start,
     start_node,
     wait,
@@ -39,20 +39,20 @@
 @then('"{first}" and "{second}" get streams to each other')
 def step_streams_to_each_other(context, first, second):
     one, other = context.peers[first], context.peers[second]
-    wait(context, one, lambda: one.knows(other))
-    wait(context, other, lambda: other.knows(one))
+    wait(context, one, lambda: one.has_live_stream_to(other))
+    wait(context, other, lambda: other.has_live_stream_to(one))
 
 
-@when('"{name}" provides the state {value:d} under "{concern}"')
-def step_provide(context, name, value, concern):
+@when('"{name}" provides the state {value:d} under "{component}"')
+def step_provide(context, name, value, component):
     network = context.peers[name].network
-    call(context, network.provide_heartbeat, concern, lambda: {"value": value})
+    call(context, network.add_heartbeat_part, component, lambda: {"value": value})
 
 
-@then('"{name}" sees the state {value:d} of "{other}" under "{concern}"')
-def step_sees_state(context, name, value, other, concern):
+@then('"{name}" sees the state {value:d} of "{other}" under "{component}"')
+def step_sees_state(context, name, value, other, component):
     node = context.peers[name]
-    expected = {concern: {"value": value}}
+    expected = {component: {"value": value}}
     wait(context, node, lambda: any(m.heartbeat == expected for m in node.network.members()))
 
 
@@ -75,14 +75,14 @@
         )
         context.peer_relays[index].target = nodes[index].address
     for one, other in (nodes, reversed(nodes)):
-        wait(context, one, lambda one=one, other=other: one.knows(other))
+        wait(context, one, lambda one=one, other=other: one.has_live_stream_to(other))
 
 
-@when("the relays silence the open connections")
-def step_silence(context):
+@when("the relays drop all data of the open connections")
+def step_drop_data(context):
     context.peer_links = {name: dict(node.network._dialled) for name, node in context.peers.items()}
     for relay in context.peer_relays:
-        call(context, relay.silence_open_connections)
+        call(context, relay.blackhole_open_connections)
 
 
 @then("both peers get new streams and a request passes")
@@ -92,32 +92,34 @@
         old = context.peer_links[one.name][other.incarnation]
 
         def has_new(one=one, other=other, old=old):
-            return one.knows(other) and one.network._dialled[other.incarnation] is not old
+            return (
+                one.has_live_stream_to(other) and one.network._dialled[other.incarnation] is not old
+            )
 
         wait(context, one, has_new)
-        ask(context, one.name, other.incarnation, "hello")
+        send_question(context, one.name, other.incarnation, "hello")
         assert context.peer_answer == Answer("hello"), context.peer_error
 
 
-@then("neither peer has ever been held for dead")
+@then("neither peer has ever been considered dead")
 def step_never_dead(context):
     for node in context.peers.values():
         assert MemberStatus.DEAD not in [status for _, status in node.statuses], node.statuses
 
 
-@when('"{name}" is stopped and started again under its name')
+@when('"{name}" is restarted under the same name')
 def step_restart(context, name):
-    context.peer_old = context.peers[name]
-    call(context, context.peer_old.stop)
-    others = tuple(n.address for n in context.peers.values() if n is not context.peer_old)
-    start_node(context, name, addresses=others, dead_after_s=NEVER_S)
+    context.replaced_peer = context.peers[name]
+    call(context, context.replaced_peer.stop)
+    others = tuple(n.address for n in context.peers.values() if n is not context.replaced_peer)
+    start_node(context, name, addresses=others, dead_after_s=UNLIMITED_S)
 
 
-@then('"{name}" holds the old incarnation of "{other}" for dead and the new one for alive')
+@then('"{name}" considers the old incarnation of "{other}" dead and the new one alive')
 def step_restarted(context, name, other):
-    node, new, old = context.peers[name], context.peers[other], context.peer_old
+    node, new, old = context.peers[name], context.peers[other], context.replaced_peer
     wait(context, node, lambda: node.status_of(old.incarnation) is MemberStatus.DEAD)
-    wait(context, node, lambda: node.knows(new))
+    wait(context, node, lambda: node.has_live_stream_to(new))
     current = [member.identity.incarnation for member in node.network.members()]
     assert current == [new.incarnation], current
 
@@ -125,19 +127,19 @@
 @then('a handshake of the old incarnation of "{other}" with "{name}" is refused')
 def step_old_refused(context, other, name):
     try:
-        call(context, dial_raw, context.peers[name].address, context.peer_old.network.identity)
+        call(context, dial_raw, context.peers[name].address, context.replaced_peer.network.identity)
     except PeerHandshakeError as error:
         assert "newer incarnation" in error.message, error.message
         return
     raise AssertionError("the handshake succeeded")
 
 
-@when('"{name}" is stopped without a word')
+@when('"{name}" is stopped without a leave notice')
 def step_stop(context, name):
     call(context, context.peers[name].stop)
 
 
-@then('"{name}" holds "{other}" for {status:w}')
+@then('"{name}" considers "{other}" {status:w}')
 def step_holds_for(context, name, other, status):
     node, incarnation = context.peers[name], context.peers[other].incarnation
     wait(context, node, lambda: node.status_of(incarnation) == status)
@@ -150,7 +152,7 @@
     call(context, context.peers[name].network.announce_leaving)
 
 
-@then('"{name}" holds "{other}" for alive but not ready')
+@then('"{name}" considers "{other}" alive but not ready')
 def step_not_ready(context, name, other):
     node, incarnation = context.peers[name], context.peers[other].incarnation
     entry = node.network.table.get(incarnation)
@@ -175,9 +177,9 @@
     context.peer_stack.callback(child.wait)
     context.peer_stack.callback(child.kill)
     context.peer_process = child
-    context.peer_frozen = json.loads(child.stdout.readline())["own"]
-    wait(context, node, lambda: node.status_of(context.peer_frozen) is MemberStatus.ALIVE)
-    wait(context, node, lambda: rounds_of(node, context.peer_frozen) > 2)
+    context.frozen_incarnation = json.loads(child.stdout.readline())["own"]
+    wait(context, node, lambda: node.status_of(context.frozen_incarnation) is MemberStatus.ALIVE)
+    wait(context, node, lambda: rounds_of(node, context.frozen_incarnation) > 2)
 
 
 def rounds_of(node, incarnation):
@@ -185,11 +187,11 @@
     return heartbeat.get("rounds", {}).get("count", 0)
 
 
-@when('the process is frozen until "{name}" holds it for dead')
+@when('the process is frozen until "{name}" considers it dead')
 def step_freeze(context, name):
     node = context.peers[name]
     context.peer_process.send_signal(signal.SIGSTOP)
-    wait(context, node, lambda: node.status_of(context.peer_frozen) is MemberStatus.DEAD)
+    wait(context, node, lambda: node.status_of(context.frozen_incarnation) is MemberStatus.DEAD)
 
 
 @when("the process is resumed")
@@ -197,15 +199,15 @@
     context.peer_process.send_signal(signal.SIGCONT)
 
 
-@then('"{name}" holds the process for alive again')
+@then('"{name}" considers the process alive again')
 def step_alive_again(context, name):
-    node, frozen = context.peers[name], context.peer_frozen
+    node, frozen = context.peers[name], context.frozen_incarnation
     wait(context, node, lambda: node.status_of(frozen) is MemberStatus.ALIVE)
     rounds = rounds_of(node, frozen)
     wait(context, node, lambda: rounds_of(node, frozen) > rounds + 3)
 
 
-@then('the process has never held "{name}" for suspect or dead')
+@then('the process has never considered "{name}" suspect or dead')
 def step_never_suspected(context, name):
     context.peer_process.kill()
     lines = [json.loads(line) for line in context.peer_process.stdout]
@@ -221,22 +223,24 @@
         start_node(context, f"peer-{number}", addresses=(first.address,), **settings)
     last = context.peers[f"peer-{count - 1}"]
     wait(context, first, lambda: len(first.network.members()) == count - 1)
-    wait(context, first, lambda: first.knows(last))
+    wait(context, first, lambda: first.has_live_stream_to(last))
     context.pair = first, last
 
 
-@when("the first one depends on the last one")
-def step_depend(context):
+@when("the first peer prioritizes the last peer")
+def step_prioritize(context):
     first, last = context.pair
-    call(context, first.network.depend_on, lambda: [last.incarnation])
+    call(context, first.network.prioritize_members, lambda: [last.incarnation])
     sleep(2 * first.settings.heartbeat_interval_s)
 
 
-@then("for {duration:g} s the first one hears the last one every {bound:g} s")
-def step_heard(context, duration, bound):
+@then("for {duration:g} s the first peer receives a message from the last peer every {bound:g} s")
+def step_messages_received(context, duration, bound):
     first, last = context.pair
     longest_s = 0.0
     for _ in range(int(duration / SAMPLE_INTERVAL_S)):
         sleep(SAMPLE_INTERVAL_S)
-        longest_s = max(longest_s, call(context, first.network.silence_s, last.incarnation))
+        longest_s = max(
+            longest_s, call(context, first.network.time_since_message_s, last.incarnation)
+        )
     assert longest_s <= bound, longest_s
--- a/tests/steps/peers_streams_steps.py
+++ b/tests/steps/peers_streams_steps.py
@@ -7,8 +7,8 @@
 from berylproxy.peers.codec import NoticeFrame, ReplyFrame
 from tests.support.peer_networks import (
     FULL_CODEC,
-    GUARD_S,
-    NEVER_S,
+    STEP_TIMEOUT_S,
+    UNLIMITED_S,
     Answer,
     News,
     Question,
@@ -18,9 +18,9 @@
     read_to_end,
 )
 from tests.support.peer_scenario import (
-    ask,
     call,
     raw_as_node,
+    send_question,
     start,
     start_pair,
     start_raw_member,
@@ -33,25 +33,25 @@
     start_pair(context, first, second)
 
 
-@given('two peers "{first}" and "{second}" that know each other and never give up on time')
+@given('two peers "{first}" and "{second}" that know each other and never time out')
 def step_two_patient_peers(context, first, second):
-    start_pair(context, first, second, heartbeat_timeout_s=NEVER_S, dead_after_s=NEVER_S)
+    start_pair(context, first, second, heartbeat_timeout_s=UNLIMITED_S, dead_after_s=UNLIMITED_S)
 
 
 @when('"{first}" asks "{second}" for "{text}" over the stream')
 def step_ask(context, first, second, text):
-    timeout_s = 0.05 if text == "never" else NEVER_S
-    ask(context, first, context.peers[second].incarnation, text, timeout_s)
+    timeout_s = 0.05 if text == "never" else UNLIMITED_S
+    send_question(context, first, context.peers[second].incarnation, text, timeout_s)
 
 
 @when('"{first}" asks "{second}" for {count:d} letters over the stream')
 def step_ask_long(context, first, second, count):
-    ask(context, first, context.peers[second].incarnation, "x" * count)
+    send_question(context, first, context.peers[second].incarnation, "x" * count)
 
 
 @when('"{name}" asks an unknown incarnation over the stream')
 def step_ask_unknown(context, name):
-    ask(context, name, "0" * 12, "hello")
+    send_question(context, name, "0" * 12, "hello")
 
 
 @then('the peer answer is "{text}"')
@@ -80,12 +80,12 @@
             sender.network.notify(receiver.incarnation, News(str(number)))
 
     call(context, notify)
-    ask(context, first, receiver.incarnation, "last")
+    send_question(context, first, receiver.incarnation, "last")
 
 
-@then('"{name}" has got the {count:d} notices in order')
+@then('"{name}" has received the {count:d} notices in order')
 def step_got_notices(context, name, count):
-    assert context.peers[name].news == [str(number) for number in range(count)]
+    assert context.peers[name].received_notices == [str(number) for number in range(count)]
 
 
 @given('a peer "{name}" with a raw member that answers three questions in reverse, twice')
@@ -107,8 +107,8 @@
     answers = {}
 
     async def one(text):
-        incarnation = context.peer_raw.identity.incarnation
-        answers[text] = await network.request(incarnation, Question(text), GUARD_S)
+        incarnation = context.raw_member.identity.incarnation
+        answers[text] = await network.request(incarnation, Question(text), STEP_TIMEOUT_S)
 
     async def ask_all():
         async with create_task_group() as task_group:
@@ -128,11 +128,11 @@
 @then('"{name}" has dropped {count:d} late peer replies')
 def step_late_replies(context, name, count):
     node = context.peers[name]
-    wait(context, node, lambda: node.news == ["done"])
+    wait(context, node, lambda: node.received_notices == ["done"])
     assert node.network.counters.late_replies == count, node.network.counters
 
 
-@given('a peer "{name}" with a raw member that breaks off in mid-reply')
+@given('a peer "{name}" with a raw member that closes the stream in the middle of a reply')
 def step_raw_broken(context, name):
     async def answer(_, stream, questions):
         frame = questions[-1]
@@ -145,12 +145,12 @@
 
 @when('"{name}" asks the raw member a question')
 def step_ask_raw(context, name):
-    ask(context, name, context.peer_raw.identity.incarnation, "hello")
+    send_question(context, name, context.raw_member.identity.incarnation, "hello")
 
 
 @then('"{name}" dials the raw member a second time')
 def step_second_stream(context, name):
-    raw = context.peer_raw
+    raw = context.raw_member
     wait(context, context.peers[name], lambda: raw.streams == 2)
 
 
@@ -172,7 +172,7 @@
             try:
                 await stream.send(BROKEN_FRAMES[what])
             except anyio.BrokenResourceError:
-                return  # closed before the whole of it was taken
+                return  # the peer closed the stream before it received all data
             await read_to_end(stream)
 
     context.peer_error = None
@@ -186,23 +186,23 @@
 
 
 @given('a raw member of "{name}" that does not read')
-def step_raw_deaf(context, name):
+def step_raw_not_reading(context, name):
     async def stall(*_):
         await anyio.sleep_forever()
 
     async def make():
         return RawDaemon("raw", stall)
 
-    context.peer_raw = call(context, make)
+    context.raw_member = call(context, make)
     node = context.peers[name]
-    call(context, node.network.add_address, start(context, context.peer_raw.run))
-    wait(context, node, lambda: node.knows(raw_as_node(context.peer_raw)))
+    call(context, node.network.add_address, start(context, context.raw_member.run))
+    wait(context, node, lambda: node.has_live_stream_to(raw_as_node(context.raw_member)))
 
 
 @when('"{name}" fills the queue of the raw member')
 def step_fill_queue(context, name):
     network = context.peers[name].network
-    incarnation = context.peer_raw.identity.incarnation
+    incarnation = context.raw_member.identity.incarnation
 
     def fill():
         for _ in range(8):
@@ -210,11 +210,11 @@
 
     async def send():
         with anyio.move_on_after(0.05):
-            await network.request(incarnation, Question("stall"), GUARD_S)
+            await network.request(incarnation, Question("stall"), STEP_TIMEOUT_S)
 
     call(context, send)
     call(context, fill)
-    ask(context, name, incarnation, "x" * 4_000_000)
+    send_question(context, name, incarnation, "x" * 4_000_000)
 
 
 @then('"{name}" counts a dropped peer notice')
@@ -225,34 +225,34 @@
 @when('"{first}" has asked "{second}" for "later" and "{draining}" drains its streams')
 def step_drain(context, first, second, draining):
     asking, asked = context.peers[first], context.peers[second]
-    context.peer_order = []
+    context.drain_events = []
 
     async def request():
-        await asking.network.request(asked.incarnation, Question("later"), NEVER_S)
-        context.peer_order.append("answered")
+        await asking.network.request(asked.incarnation, Question("later"), UNLIMITED_S)
+        context.drain_events.append("answered")
 
     async def drain():
-        context.peer_order.append(await asked.network.drain(0))
-        asked.may_answer.set()
-        context.peer_order.append(await asked.network.drain(NEVER_S))
+        context.drain_events.append(await asked.network.drain(0))
+        asked.answer_allowed.set()
+        context.drain_events.append(await asked.network.drain(UNLIMITED_S))
 
     async def do_both():
-        with fail_after(GUARD_S):
+        with fail_after(STEP_TIMEOUT_S):
             async with create_task_group() as task_group:
                 task_group.start_soon(request)
-                await asked.asked.wait()
+                await asked.question_received.wait()
                 task_group.start_soon(drain)
 
     call(context, do_both)
 
 
-@then('"{name}" is drained only when "{other}" has got its peer answer')
+@then('"{name}" is drained only when "{other}" has received its peer answer')
 def step_drained(context, name, other):
-    assert context.peer_order[0] is False, context.peer_order
-    assert sorted(map(str, context.peer_order[1:])) == ["True", "answered"], context.peer_order
+    assert context.drain_events[0] is False, context.drain_events
+    assert sorted(map(str, context.drain_events[1:])) == ["True", "answered"], context.drain_events
 
 
-@when('"{first}" sends "{second}" the greatest notice among {count:d} small ones and a request')
+@when('"{first}" sends "{second}" the largest notice among {count:d} small ones and a request')
 def step_send_greatest(context, first, second, count):
     sender, receiver = context.peers[first], context.peers[second]
     overhead_bytes = len(FULL_CODEC.encode(NoticeFrame(News("x" * 100_000)))) - 100_000
@@ -263,9 +263,11 @@
             sender.network.notify(receiver.incarnation, News(text))
 
     call(context, notify)
-    ask(context, first, receiver.incarnation, "last")
+    send_question(context, first, receiver.incarnation, "last")
 
 
-@then('"{name}" has got all {count:d} notices')
+@then('"{name}" has received all {count:d} notices')
 def step_got_all(context, name, count):
-    assert len(context.peers[name].news) == count, len(context.peers[name].news)
+    assert len(context.peers[name].received_notices) == count, len(
+        context.peers[name].received_notices
+    )
--- a/tests/steps/peers_table_steps.py
+++ b/tests/steps/peers_table_steps.py
@@ -8,7 +8,7 @@
 
 from berylproxy.peers.membership import MemberStatus
 from berylproxy.peers.messages import Heartbeat, MemberUpdate
-from berylproxy.peers.prober import Prober, pick_helpers
+from berylproxy.peers.prober import Prober, pick_intermediaries
 from berylproxy.peers.settings import PeerSettings
 from berylproxy.peers.table import MemberTable
 from tests.support.peer_networks import LOOPBACK, make_identity
@@ -18,19 +18,22 @@
 HEARTBEAT_TIMEOUT_S = 0.05
 
 
-@given("a member table that gives up after {dead_s:g} s and forgets after {forget_s:g} s")
+@given(
+    "a member table that declares members dead after {dead_s:g} s "
+    "and removes them after {forget_s:g} s"
+)
 def step_table(context, dead_s, forget_s):
     context.member_now_ms = 0
     context.member_unknown = []
     context.member_table = MemberTable(
         dead_s, forget_s, lambda: context.member_now_ms / 1000, context.member_unknown.append
     )
-    context.member_entry = context.member_table.meet(IDENTITY)
+    context.member_entry = context.member_table.note_contact(IDENTITY)
 
 
 @when("the member is suspect for {seconds:g} s")
 def step_suspect(context, seconds):
-    context.member_table.suspect(context.member_entry)
+    context.member_table.mark_suspect(context.member_entry)
     step_time_moves(context, seconds)
 
 
@@ -43,49 +46,49 @@
 @when("this daemon is paused for {seconds:g} s")
 def step_pause(context, seconds):
     context.member_now_ms += round(seconds * 1000)
-    context.member_table.postpone(seconds)
+    context.member_table.extend_deadlines(seconds)
     context.member_table.expire()
 
 
-@then('the table holds it for "{status}"')
+@then('its status in the table is "{status}"')
 def step_table_holds(context, status):
     assert context.member_table.get(IDENTITY.incarnation).member.status == status
 
 
-@then("the table has forgotten it")
+@then("the table has removed it")
 def step_forgotten(context):
     assert context.member_table.get(IDENTITY.incarnation) is None
 
 
-@when("old news say that the member is {status:w}")
-def step_old_news(context, status):
-    context.member_table.take_update(MemberUpdate(IDENTITY, MemberStatus(status), 0))
+@when("an outdated update says that the member is {status:w}")
+def step_outdated_update(context, status):
+    context.member_table.apply_update(MemberUpdate(IDENTITY, MemberStatus(status), 0))
 
 
 @when("the member itself refutes the suspicion")
 def step_refute(context):
-    context.member_table.take_heartbeat(context.member_entry, Heartbeat(True, 1, 1, 0, None, ()))
+    context.member_table.apply_heartbeat(context.member_entry, Heartbeat(True, 1, 1, 0, None, ()))
 
 
-@then("the news of the member are sent on {times:d} times")
-def step_spread(context, times):
+@then("the update on the member is sent on {times:d} times")
+def step_retransmissions(context, times):
     sent = [context.member_table.pick_updates(None) for _ in range(times + 3)]
     assert [len(updates) for updates in sent] == [1] * times + [0] * 3, sent
 
 
-@when("news name an unknown daemon that is alive")
+@when("an update names an unknown daemon as alive")
 def step_unknown(context):
-    context.member_table.take_update(MemberUpdate(UNKNOWN, MemberStatus.ALIVE, 0))
+    context.member_table.apply_update(MemberUpdate(UNKNOWN, MemberStatus.ALIVE, 0))
 
 
-@then("the unknown daemon is to be dialled but is no member")
+@then("the unknown daemon is reported for dialling but is not a member")
 def step_unknown_dialled(context):
     assert context.member_unknown == [UNKNOWN]
     assert [member.identity for member in context.member_table.members()] == [IDENTITY]
 
 
-class MuteTransport:
-    """Answers no heartbeat; may stop the whole daemon while it waits for one."""
+class UnansweringTransport:
+    """Answers no heartbeat; can block the whole process while a heartbeat is sent."""
 
     def __init__(self, pause_s):
         self._pause_s = pause_s
@@ -94,7 +97,7 @@
         return []
 
     async def exchange_heartbeat(self, _, timeout_s):
-        time.sleep(self._pause_s)  # noqa: ASYNC251 - the whole daemon is to stop
+        time.sleep(self._pause_s)  # noqa: ASYNC251 - simulates a pause of the whole process
         await anyio.sleep(timeout_s)
         return False
 
@@ -112,10 +115,10 @@
             pass
 
         table = MemberTable(4.0, 60.0, anyio.current_time, lambda _: None)
-        context.member_entry = table.meet(IDENTITY)
-        prober = Prober(settings, table, MuteTransport(pause_s), ignore)
+        context.member_entry = table.note_contact(IDENTITY)
+        prober = Prober(settings, table, UnansweringTransport(pause_s), ignore)
         async with anyio.create_task_group() as task_group:
-            prober.check_soon(task_group, context.member_entry)
+            prober.start_check(task_group, context.member_entry)
 
     anyio.run(check)
 
@@ -125,7 +128,7 @@
     check_once(context, 1.0)
 
 
-@when("a heartbeat goes unanswered otherwise")
+@when("a heartbeat goes unanswered without a pause")
 def step_check_unpaused(context):
     check_once(context, 0.0)
 
@@ -140,28 +143,28 @@
     assert context.member_entry.member.status is MemberStatus.SUSPECT
 
 
-def pick_helper_domains(count, per_domain, domains):
+def pick_intermediary_domains(count, per_domain, domains):
     table = MemberTable(4.0, 60.0, lambda: 0.0, lambda _: None)
     for domain in domains:
         for number in range(per_domain):
             identity = make_identity(f"{domain}-{number}", f"127.0.0.1:{len(table.entries()) + 1}")
-            table.meet(replace(identity, failure_domain=domain))
-    helpers = pick_helpers(table.entries(), "own", count)
-    return [entry.identity.failure_domain for entry in helpers]
+            table.note_contact(replace(identity, failure_domain=domain))
+    intermediaries = pick_intermediaries(table.entries(), "own", count)
+    return [entry.identity.failure_domain for entry in intermediaries]
 
 
 @then(
-    "of {count:d} helpers among {members:d} members in each of {domains:d} domains none is of the "
-    "own domain nor of one twice"
+    "of {count:d} intermediaries among {members:d} members in each of {domains:d} domains, none is "
+    "in the own domain and no two are in the same one"
 )
-def step_helpers_spread(context, count, members, domains):
+def step_intermediaries_spread(context, count, members, domains):
     names = ["own", *(f"other-{number}" for number in range(1, domains))]
     for _ in range(20):
-        picked = pick_helper_domains(count, members, names)
+        picked = pick_intermediary_domains(count, members, names)
         assert len(picked) == len(set(picked)) == count, picked
         assert "own" not in picked, picked
 
 
-@then("of {count:d} helpers among {members:d} members in the own domain alone all are of it")
-def step_helpers_own(context, count, members):
-    assert pick_helper_domains(count, members, ["own"]) == ["own"] * count
+@then("of {count:d} intermediaries among {members:d} members in the own domain only, all are in it")
+def step_intermediaries_own(context, count, members):
+    assert pick_intermediary_domains(count, members, ["own"]) == ["own"] * count
--- a/tests/support/peer_networks.py
+++ b/tests/support/peer_networks.py
@@ -30,28 +30,28 @@
 from berylproxy.peers.settings import PeerSettings, split_address
 
 KEY = b"a shared key of the cluster"
-GUARD_S = 60
-NEVER_S = 100_000.0
+STEP_TIMEOUT_S = 60
+UNLIMITED_S = 100_000.0
 LOOPBACK = "127.0.0.1:0"
 
 
 @dataclass(frozen=True, slots=True)
 class Question:
-    """A request of the features."""
+    """A request sent by the features."""
 
     text: str
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """Its reply."""
+    """The reply to a :class:`Question`."""
 
     text: str
 
 
 @dataclass(frozen=True, slots=True)
 class News:
-    """A notice of the features."""
+    """A notice sent by the features."""
 
     text: str
 
@@ -61,13 +61,13 @@
 
 
 class TestError(BerylproxyError):
-    """An error that a handler ends with."""
+    """The error that a handler raises on demand."""
 
     code = "test_refusal"
 
 
 class Node:
-    """A network in this process, with the changes that it has reported."""
+    """A peer network in this process that records the changes it reports."""
 
     def __init__(self, name, advertised="", **settings):
         self.name = name
@@ -76,16 +76,16 @@
         identity = DaemonIdentity(name, os.urandom(6).hex(), "domain-1", advertised)
         self.network = TcpPeerNetwork(identity, self.settings, CODEC, Logger(f"peers-{name}"))
         self.statuses = []
-        self.news = []
-        self.asked = Event()
-        self.may_answer = Event()
+        self.received_notices = []
+        self.question_received = Event()
+        self.answer_allowed = Event()
         self.address = ""
         self._changed = Event()
         self._scope = CancelScope()
         self._ended = Event()
-        self.network.on_change(self._take_change)
+        self.network.on_change(self._record_change)
         self.network.handle_request(Question, self._answer)
-        self.network.handle_notice(News, self._take_news)
+        self.network.handle_notice(News, self._record_notice)
 
     @property
     def incarnation(self):
@@ -95,8 +95,8 @@
         entry = self.network.table.get(incarnation)
         return entry.member.status if entry else None
 
-    def knows(self, other):
-        """Tells whether there is a dialled stream to a live member."""
+    def has_live_stream_to(self, other):
+        """Returns whether there is a dialled stream to a member that is alive."""
         has_stream = other.incarnation in self.network._dialled
         return has_stream and self.status_of(other.incarnation) is MemberStatus.ALIVE
 
@@ -109,28 +109,28 @@
 
     async def stop(self):
         self._scope.cancel()
-        with fail_after(GUARD_S):
+        with fail_after(STEP_TIMEOUT_S):
             await self._ended.wait()
 
     async def wait_until(self, condition):
-        """Waits until a condition holds, looked at on each change of a member or stream."""
-        with fail_after(GUARD_S):
+        """Waits until a condition holds, checking it on each change of a member or stream."""
+        with fail_after(STEP_TIMEOUT_S):
             while not condition():
                 async with create_task_group() as task_group:
                     for event in (self._changed, self.network._link_opened):
                         task_group.start_soon(_cancel_after, event, task_group.cancel_scope)
 
-    def _take_change(self, member):
+    def _record_change(self, member):
         self.statuses.append((member.identity.incarnation, member.status))
-        self._wake()
+        self._signal_change()
 
-    def _wake(self):
+    def _signal_change(self):
         changed, self._changed = self._changed, Event()
         changed.set()
 
-    def _take_news(self, _, message):
-        self.news.append(message.text)
-        self._wake()
+    def _record_notice(self, _, message):
+        self.received_notices.append(message.text)
+        self._signal_change()
 
     async def _answer(self, _, question):
         if question.text == "refuse":
@@ -138,8 +138,8 @@
         if question.text == "never":
             await sleep_forever()
         if question.text == "later":
-            self.asked.set()
-            await self.may_answer.wait()
+            self.question_received.set()
+            await self.answer_allowed.wait()
         return Answer(question.text)
 
 
@@ -153,9 +153,11 @@
 
 
 async def dial_raw(address, identity, keys=(KEY,), cluster="berylproxy"):
-    """Dials a network and runs the handshake only."""
+    """Dials a peer network and runs only the handshake."""
     stream = await connect_tcp(*split_address(address))
-    settings = PeerSettings(LOOPBACK, keys=keys, cluster=cluster, handshake_timeout_s=GUARD_S)
+    settings = PeerSettings(
+        LOOPBACK, keys=keys, cluster=cluster, handshake_timeout_s=STEP_TIMEOUT_S
+    )
     try:
         await Handshake(stream, identity, settings, lambda _: None).dial()
     except BaseException:
@@ -167,16 +169,19 @@
 async def read_to_end(stream):
     """Reads until the other side closes the stream."""
     received = b""
-    with fail_after(GUARD_S), suppress(EndOfStream, BrokenResourceError, ClosedResourceError):
+    with (
+        fail_after(STEP_TIMEOUT_S),
+        suppress(EndOfStream, BrokenResourceError, ClosedResourceError),
+    ):
         while True:
             received += await stream.receive()
     return received
 
 
 class RawDaemon:
-    """A member that answers heartbeats properly and requests as a feature tells it to.
+    """A member that answers heartbeats itself and leaves requests to a callback.
 
-    :param on_questions: called with the stream and the questions that have come on it.
+    :param on_questions: called with the daemon, the stream and the questions received on it so far.
     """
 
     def __init__(self, name, on_questions):
@@ -193,7 +198,7 @@
             await listener.serve(self._serve)
 
     async def _serve(self, stream):
-        settings = PeerSettings(LOOPBACK, keys=(KEY,), handshake_timeout_s=GUARD_S)
+        settings = PeerSettings(LOOPBACK, keys=(KEY,), handshake_timeout_s=STEP_TIMEOUT_S)
         self.streams += 1
         questions = []
         decoder = FULL_CODEC.make_decoder(1_000_000)
@@ -202,9 +207,9 @@
             with suppress(EndOfStream, BrokenResourceError, ClosedResourceError):
                 while True:
                     for frame in decoder.feed(await stream.receive()):
-                        await self._take(stream, frame, questions)
+                        await self._handle_frame(stream, frame, questions)
 
-    async def _take(self, stream, frame, questions):
+    async def _handle_frame(self, stream, frame, questions):
         match frame:
             case RequestFrame(request_id, Heartbeat()):
                 await stream.send(FULL_CODEC.encode(ReplyFrame(request_id, HEARTBEAT)))
@@ -219,16 +224,16 @@
 
 
 class Relay:
-    """Forwards connections to an address until those that are open are silenced."""
+    """Forwards connections to an address; can drop the data of the connections already open."""
 
     def __init__(self):
         self.target = ""
-        self._silenced_before = 0
+        self._blackholed_before = 0
         self.connections = 0
 
-    def silence_open_connections(self):
-        """Drops without a trace all that the present connections carry from now on."""
-        self._silenced_before = self.connections
+    def blackhole_open_connections(self):
+        """Drops all further data of the current connections without closing them."""
+        self._blackholed_before = self.connections
 
     async def run(self, *, task_status=TASK_STATUS_IGNORED):
         listener = await create_tcp_listener(local_host="127.0.0.1")
@@ -244,14 +249,14 @@
         self.connections += 1
         server = await connect_tcp(*split_address(self.target))
         async with client, server, create_task_group() as task_group:
-            task_group.start_soon(self._pump, client, server, number)
-            task_group.start_soon(self._pump, server, client, number)
+            task_group.start_soon(self._forward, client, server, number)
+            task_group.start_soon(self._forward, server, client, number)
 
-    async def _pump(self, source, sink, number):
+    async def _forward(self, source, sink, number):
         with suppress(EndOfStream, BrokenResourceError, ClosedResourceError):
             while True:
                 data = await source.receive()
-                if number >= self._silenced_before:
+                if number >= self._blackholed_before:
                     await sink.send(data)
-        if number >= self._silenced_before:
+        if number >= self._blackholed_before:
             await sink.aclose()
--- a/tests/support/peer_process.py
+++ b/tests/support/peer_process.py
@@ -1,4 +1,4 @@
-"""Runs one network as a process of its own and prints what it sees as JSON lines."""
+"""Runs one peer network in its own process and prints the status changes it sees as JSON lines."""
 
 import json
 import os
@@ -28,7 +28,7 @@
     identity = DaemonIdentity(name, os.urandom(6).hex(), "domain-1", "")
     network = TcpPeerNetwork(identity, settings, CODEC, Logger(name))
     rounds = iter(range(1_000_000))
-    network.provide_heartbeat("rounds", lambda: {"count": next(rounds)})
+    network.add_heartbeat_part("rounds", lambda: {"count": next(rounds)})
     network.on_change(
         lambda member: write_line(
             incarnation=member.identity.incarnation, status=member.status.value
--- a/tests/support/peer_scenario.py
+++ b/tests/support/peer_scenario.py
@@ -1,4 +1,4 @@
-"""What the steps of the streams and of the membership share: one event loop for a scenario."""
+"""Helpers for the steps on streams and membership, which share one event loop per scenario."""
 
 from contextlib import ExitStack
 
@@ -8,16 +8,16 @@
 
 from berylproxy.peers.membership import PeerError
 from tests.support.peer_networks import (
-    GUARD_S,
-    NEVER_S,
+    STEP_TIMEOUT_S,
+    UNLIMITED_S,
     Node,
     Question,
     RawDaemon,
 )
 
 
-def portal_of(context):
-    """Starts the event loop of a scenario, and the log that it writes."""
+def get_portal(context):
+    """Returns the scenario's event loop, started on first use together with a log capture."""
     if "peer_portal" not in context:
         stack = ExitStack()
         context.add_cleanup(stack.close)
@@ -29,19 +29,19 @@
 
 
 def call(context, function, *arguments):
-    return portal_of(context).call(function, *arguments)
+    return get_portal(context).call(function, *arguments)
 
 
 def start(context, run):
-    """Runs a service until the scenario ends and returns what it reports at its start."""
-    future, value = portal_of(context).start_task(run)
+    """Runs a service until the scenario ends and returns the value it reports when started."""
+    future, value = get_portal(context).start_task(run)
     context.peer_stack.callback(future.cancel)
     return value
 
 
 def start_node(context, name, **settings):
-    portal_of(context)
-    values = {"heartbeat_interval_s": 0.1, "handshake_timeout_s": GUARD_S} | settings
+    get_portal(context)
+    values = {"heartbeat_interval_s": 0.1, "handshake_timeout_s": STEP_TIMEOUT_S} | settings
 
     async def make():
         return Node(name, **values)
@@ -55,8 +55,8 @@
 def start_pair(context, first, second, **settings):
     one = start_node(context, first, **settings)
     other = start_node(context, second, addresses=(one.address,), **settings)
-    wait(context, one, lambda: one.knows(other))
-    wait(context, other, lambda: other.knows(one))
+    wait(context, one, lambda: one.has_live_stream_to(other))
+    wait(context, other, lambda: other.has_live_stream_to(one))
     return one, other
 
 
@@ -64,12 +64,12 @@
     call(context, node.wait_until, condition)
 
 
-def ask(context, name, incarnation, text, timeout_s=NEVER_S):
+def send_question(context, name, incarnation, text, timeout_s=UNLIMITED_S):
     context.peer_answer = context.peer_error = None
     network = context.peers[name].network
 
     async def request():
-        with fail_after(GUARD_S):
+        with fail_after(STEP_TIMEOUT_S):
             return await network.request(incarnation, Question(text), timeout_s)
 
     try:
@@ -87,8 +87,8 @@
     raw = call(context, make)
     address = start(context, raw.run)
     call(context, node.network.add_address, address)
-    wait(context, node, lambda: node.knows(raw_as_node(raw)))
-    context.peer_raw = raw
+    wait(context, node, lambda: node.has_live_stream_to(raw_as_node(raw)))
+    context.raw_member = raw
     return raw
 
 
--- a/tools/measure_membership.py
+++ b/tools/measure_membership.py
@@ -1,9 +1,9 @@
-"""Measures what the membership costs and how fast it sees failures, over real sockets.
+"""Measures the cost of the membership and how fast it detects failures, over real sockets.
 
 Usage: python -m tools.measure_membership cost|cost-of-full-mesh|detect <daemons>|codec
 
-``cost`` runs the daemons as processes of their own, so that processor time is counted for each.
-Bytes are those of the streams' payload, and an estimate with headers is given next to them.
+``cost`` runs each daemon in its own process, so that processor time is counted per daemon. Bytes
+are those of the streams' payload; an estimate that includes packet headers is printed next to them.
 """
 
 import json
@@ -41,8 +41,8 @@
 LOSS_RATE = 0.01
 LOSS_WINDOW_S = 60.0
 SEED = 11
-LOSS = "BERYLPROXY_MEASURE_LOSS"
-FULL_MESH = "BERYLPROXY_MEASURE_FULL_MESH"
+LOSS_VARIABLE = "BERYLPROXY_MEASURE_LOSS"
+FULL_MESH_VARIABLE = "BERYLPROXY_MEASURE_FULL_MESH"
 CODEC_ROUNDS = 20_000
 THROUGHPUT_REQUESTS = 20_000
 THROUGHPUT_WORKERS = 100
@@ -58,23 +58,23 @@
 def make_network(
     number: int, addresses: tuple[str, ...], loss: Random | None = None
 ) -> TcpPeerNetwork:
-    """Makes a network whose state changes in every round, as a loaded daemon's does."""
+    """Creates a network whose state changes in every round, as that of a loaded daemon does."""
     name = f"daemon-{number}"
     identity = DaemonIdentity(name, os.urandom(6).hex(), f"domain-{number % 4}", "")
     settings = PeerSettings(f"127.0.0.{number + 1}:0", addresses=addresses, keys=(KEY,))
-    if FULL_MESH in os.environ:
+    if FULL_MESH_VARIABLE in os.environ:
         settings = replace(settings, heartbeats_per_interval=max(DAEMON_COUNTS))
     network = TcpPeerNetwork(identity, settings, MessageCodec((Echo,)), Logger(name))
-    network.provide_heartbeat("config", lambda: {"revision": 1234})
-    network.provide_heartbeat("place", lambda: {"waiting": time.time_ns() % 1000, "free": 64})
+    network.add_heartbeat_part("config", lambda: {"revision": 1234})
+    network.add_heartbeat_part("place", lambda: {"waiting": time.time_ns() % 1000, "free": 64})
     if loss is not None:
         lose_heartbeats(network, loss)
     return network
 
 
 def lose_heartbeats(network: TcpPeerNetwork, random: Random) -> None:
-    """Makes the sender lose some heartbeats."""
-    exchange = network._control.exchange_heartbeat
+    """Makes the network drop a random share ``LOSS_RATE`` of the heartbeats that it sends."""
+    exchange = network._membership.exchange_heartbeat
 
     async def exchange_or_lose(entry, timeout_s: float) -> bool:
         if random.random() < LOSS_RATE:
@@ -82,12 +82,12 @@
             return False
         return await exchange(entry, timeout_s)
 
-    network._control.exchange_heartbeat = exchange_or_lose
+    network._membership.exchange_heartbeat = exchange_or_lose
 
 
 async def run_daemon(number: int, seed_address: str) -> None:
-    """Runs one daemon: prints its address and changes, and its counters on each input line."""
-    loss = Random(SEED + number) if LOSS in os.environ else None
+    """Runs one daemon; prints its address, status changes and, on each input line, its counters."""
+    loss = Random(SEED + number) if LOSS_VARIABLE in os.environ else None
     network = make_network(number, (seed_address,) if seed_address else (), loss)
 
     def print_change(member) -> None:
@@ -110,12 +110,12 @@
 
 
 def print_line(**values) -> None:
-    """Prints one JSON line with the time."""
+    """Prints values as one JSON line with the current time."""
     print(json.dumps({"now_s": time.monotonic(), **values}), flush=True)
 
 
 def print_counters(network: TcpPeerNetwork) -> None:
-    """Prints what the daemon has spent so far."""
+    """Prints the daemon's traffic, processor time and memory use so far."""
     usage = resource.getrusage(resource.RUSAGE_SELF)
     print_line(
         sent_bytes=network.counters.sent_bytes,
@@ -198,7 +198,7 @@
 
 
 def print_slopes(rows: list[tuple[float, ...]]) -> None:
-    """Prints each figure's slope over the number of daemons and what it gives at size."""
+    """Prints the slope of each figure over the number of daemons, projected to larger clusters."""
     for label, column in (("payload B/s", 1), ("B/s with headers", 2), ("% of a core", 3)):
         slope, start = fit_line([row[0] for row in rows], [row[column] for row in rows])
         projected = [f"{start + slope * n:.2f} at {n}" for n in PROJECTED_COUNTS]
@@ -227,7 +227,7 @@
 
 
 def measure_detection(count: int) -> None:
-    """Prints false suspicions under short freezes and loss, and the times to see real failures."""
+    """Prints false suspicions under short freezes and loss, and the time to detect failures."""
     with Fleet(count) as fleet:
         time.sleep(SETTLE_S)
         fleet.collect_changes(fleet.daemons)
@@ -235,7 +235,7 @@
             measure_freezes(fleet, freeze_s)
         measure_failure(fleet, fleet.daemons[-1], signal.SIGSTOP)
         measure_failure(fleet, fleet.daemons[-2], signal.SIGKILL)
-    with Fleet(count, LOSS) as fleet:
+    with Fleet(count, LOSS_VARIABLE) as fleet:
         time.sleep(SETTLE_S)
         fleet.collect_changes(fleet.daemons)
         time.sleep(LOSS_WINDOW_S)
@@ -245,7 +245,7 @@
 
 
 def measure_freezes(fleet: Fleet, freeze_s: float) -> None:
-    """Freezes one daemon after another for a short time."""
+    """Freezes one daemon after another for a short time and prints the false suspicions."""
     for number in range(FREEZE_ROUNDS):
         daemon = fleet.daemons[number % len(fleet.daemons)]
         daemon.send_signal(signal.SIGSTOP)
@@ -258,10 +258,10 @@
     print(f"{FREEZE_ROUNDS} freezes of {freeze_s} s: {suspicions} false suspicions")
 
 
-def measure_failure(fleet: Fleet, victim: subprocess.Popen, how: signal.Signals) -> None:
-    """Stops a daemon and prints when the others saw it."""
+def measure_failure(fleet: Fleet, victim: subprocess.Popen, stop_signal: signal.Signals) -> None:
+    """Stops a daemon by a signal and prints when the others detected it."""
     started_s = time.monotonic()
-    victim.send_signal(how)
+    victim.send_signal(stop_signal)
     fleet.daemons.remove(victim)
     time.sleep(3 * SETTLE_S)
     changes = fleet.collect_changes(fleet.daemons)
@@ -270,7 +270,7 @@
     for status in ("suspect", "dead"):
         times = sorted(c["now_s"] - started_s for c in changes if c["status"] == status)
         seen = f"first {times[0]:.2f} s, last {times[-1]:.2f} s" if times else "never"
-        print(f"{how.name}: {status} at {len(times)} of {len(fleet.daemons)}, {seen}")
+        print(f"{stop_signal.name}: {status} at {len(times)} of {len(fleet.daemons)}, {seen}")
 
 
 def measure_codec() -> None:
@@ -286,7 +286,7 @@
 
 
 def measure_message(label: str, message: Echo | Heartbeat) -> None:
-    """Prints the cost of one message."""
+    """Prints the size of one message and the time to encode and decode it."""
     codec = MessageCodec((Echo, *CONTROL_MESSAGES))
     frame = RequestFrame(1, message)
     data = codec.encode(frame)
@@ -297,7 +297,7 @@
 
 
 async def measure_throughput() -> None:
-    """Prints the rate of requests between two networks in this process."""
+    """Prints the request rate between two networks in this process."""
 
     async def echo(_: DaemonIdentity, message: Echo) -> Echo:
         return message
@@ -337,7 +337,7 @@
 
 
 def main(arguments: list[str]) -> None:
-    """Runs the measurement that was asked for, or a daemon of one."""
+    """Runs the requested measurement, or one of its daemons."""
     NullHandler().push_application()
     match arguments:
         case ["daemon", number, seed_address]:
@@ -345,7 +345,7 @@
         case ["cost"]:
             measure_cost()
         case ["cost-of-full-mesh"]:
-            measure_cost(FULL_MESH)
+            measure_cost(FULL_MESH_VARIABLE)
         case ["detect", count]:
             measure_detection(int(count))
         case ["codec"]:
