--- a/berylproxy/daemon/application.py
+++ b/berylproxy/daemon/application.py
@@ -41,7 +41,7 @@
 from berylproxy.records.editor import RecordEditor
 from berylproxy.records.leaving import mark_leaving_endpoints
 from berylproxy.records.messages import FetchRecords, Records, RecordsAccepted
-from berylproxy.records.spread import CONFIG_PART, RecordSpreader
+from berylproxy.records.spread import CONFIG_PART, RecordReplicator
 from berylproxy.records.view import RecordView
 from berylproxy.records.watcher import RecordWatcher
 from berylproxy.send.sender import TaskSender
@@ -83,7 +83,7 @@
         self._store = EtcdStore(settings.store_urls, STORE_TIMEOUT_S)
         self._view = RecordView()
         self._watcher = RecordWatcher(self._store, self._view, self._random)
-        self._spreader = RecordSpreader(self._view, self._network, self._random)
+        self._replicator = RecordReplicator(self._view, self._network, self._random)
         self._tracer = Tracer(settings.trace_target, settings.daemon_id, settings.failure_domain)
         self._sender = TaskSender(clock, self._count_daemons)
         self._mint = IdentifierMint(identity.incarnation, clock, IDENTIFIER_VALIDITY_S)
@@ -118,7 +118,7 @@
             self._network,
             self._view,
             self._watcher,
-            self._spreader,
+            self._replicator,
             self._pipeline,
             self._gate.authorize,
         )
@@ -135,7 +135,7 @@
         async with create_task_group() as task_group:
             peer_address = await task_group.start(self._network.run)
             task_group.start_soon(self._watcher.run)
-            task_group.start_soon(self._spreader.run)
+            task_group.start_soon(self._replicator.run)
             task_group.start_soon(self._pipeline.run, task_group)
             task_group.start_soon(self._usage_recorder.run)
             task_group.start_soon(self._keep_house)
@@ -179,9 +179,9 @@
             )
         network.handle_request(FetchRecords, self._answer_fetch)
         network.handle_notice(
-            RecordsAccepted, lambda _, message: self._spreader.handle_accepted(message)
+            RecordsAccepted, lambda _, message: self._replicator.handle_accepted(message)
         )
-        network.provide_heartbeat(CONFIG_PART, self._spreader.make_heartbeat_part)
+        network.provide_heartbeat(CONFIG_PART, self._replicator.make_heartbeat_part)
         network.on_change(self._take_member)
         self._view.subscribe(lambda _: self._apply_configuration())
 
@@ -194,7 +194,7 @@
             IDENTIFIER_VALIDITY_S,
         )
         editor = RecordEditor(
-            self._store, self._view, self._spreader, lambda: self._watcher.accepts_writes
+            self._store, self._view, self._replicator, lambda: self._watcher.accepts_writes
         )
         metrics = Metrics()
         metrics.add_source(self._monitor.collect_samples)
@@ -217,7 +217,7 @@
         self._env.stdout.flush()
 
     async def _answer_fetch(self, _: DaemonIdentity, message: FetchRecords) -> Records:
-        return self._spreader.handle_fetch(message)
+        return self._replicator.handle_fetch(message)
 
     def _count_daemons(self) -> int:
         return 1 + sum(member.status is not MemberStatus.DEAD for member in self._network.members())
--- a/berylproxy/daemon/monitoring.py
+++ b/berylproxy/daemon/monitoring.py
@@ -16,7 +16,7 @@
 from berylproxy.peers.network import TcpPeerNetwork
 from berylproxy.pipeline import Pipeline
 from berylproxy.place.endpoint_state import EndpointState
-from berylproxy.records.spread import RecordSpreader
+from berylproxy.records.spread import RecordReplicator
 from berylproxy.records.view import RecordView
 from berylproxy.records.watcher import RecordWatcher
 
@@ -46,7 +46,7 @@
         network: TcpPeerNetwork,
         view: RecordView,
         watcher: RecordWatcher,
-        spreader: RecordSpreader,
+        replicator: RecordReplicator,
         pipeline: Pipeline,
         authorize: Callable[[Request], None],
     ) -> None:
@@ -54,7 +54,7 @@
         self._network = network
         self._view = view
         self._watcher = watcher
-        self._spreader = spreader
+        self._replicator = replicator
         self._pipeline = pipeline
         self._authorize = authorize
 
@@ -77,7 +77,7 @@
 
     async def answer_readiness(self, request: Request) -> Response:
         """Answers with 200 if new work may come, else with 503 and why."""
-        reason = "stopping" if self._pipeline.is_stopping else self._spreader.state.value
+        reason = "stopping" if self._pipeline.is_stopping else self._replicator.state.value
         status = STATUS_OK if self.is_ready else STATUS_UNAVAILABLE
         return make_json_response({"ready": self.is_ready, "reason": reason}, status)
 
--- a/berylproxy/records/__init__.py
+++ b/berylproxy/records/__init__.py
@@ -1,1 +1,1 @@
-"""Configuration records: schemas, checks and the daemon's current view."""
+"""Configuration records: schemas, validation, replication and the view in force."""
--- a/berylproxy/records/api.py
+++ b/berylproxy/records/api.py
@@ -1,4 +1,4 @@
-"""The operators' interface to the records."""
+"""The HTTP interface through which operators read and change records."""
 
 import math
 import re
@@ -39,7 +39,7 @@
 def make_record_routes(view: RecordView, editor: RecordEditor, authorize: Authorize) -> list[Route]:
     """Makes the routes of ``/v1/records``.
 
-    :param authorize: raises a :class:`BerylproxyError` unless the request is an operator's.
+    :param authorize: raises a :class:`BerylproxyError` unless an operator sent the request.
     """
     interface = RecordInterface(view, editor)
 
@@ -64,20 +64,20 @@
 
 
 class RecordInterface:
-    """The handlers of the operators' calls."""
+    """HTTP handlers for the operators' requests."""
 
     def __init__(self, view: RecordView, editor: RecordEditor) -> None:
         self._view = view
         self._editor = editor
 
     async def list_records(self, request: Request) -> Response:
-        """Answers with all records of a kind."""
+        """Returns all records of a kind."""
         kind = parse_kind(request.path_params["kind"])
         records = [describe_record(record) for record in self._view.list_kind(kind)]
         return make_json_response({"revision": self._view.revision, "records": records})
 
     async def get_record(self, request: Request) -> Response:
-        """Answers with one record and its revision as the entity tag."""
+        """Returns one record, with its revision as the entity tag."""
         kind = parse_kind(request.path_params["kind"])
         name = request.path_params["name"]
         record = self._view.find(make_key(kind, name))
@@ -102,7 +102,7 @@
         return make_revision_response(revision)
 
     async def validate(self, request: Request) -> Response:
-        """Checks a record and writes nothing."""
+        """Validates a record without writing it."""
         body = parse_json(await read_body(request))
         if not isinstance(body, dict):
             raise RecordInvalidError("body", (FieldProblem("", "must be a JSON object"),))
@@ -114,7 +114,7 @@
 
 
 def describe_record(record: ViewedRecord) -> dict[str, Any]:
-    """Describes a record for operators.
+    """Returns the JSON representation of a record for operators.
 
     ``revision_in_force`` differs from ``revision`` if the record as written is not in force.
     """
@@ -123,16 +123,16 @@
         "kind": kind,
         "name": name,
         "revision": record.entry.revision,
-        "revision_in_force": record.form_revision,
+        "revision_in_force": record.revision_in_force,
         "change_id": record.change_id,
         "record": record.raw,
     }
 
 
 def read_expected_revision(request: Request) -> int:
-    """Reads ``If-Match`` or ``If-None-Match``.
+    """Reads the expected revision from ``If-Match`` or ``If-None-Match``.
 
-    :raises PreconditionRequiredError: unless exactly one of them is given and can be read.
+    :raises PreconditionRequiredError: unless exactly one of the headers is present and valid.
     """
     if_match = request.headers.get("if-match")
     if_none_match = request.headers.get("if-none-match")
@@ -148,10 +148,10 @@
 
 
 async def read_body(request: Request) -> bytes:
-    """Reads the body up to the limit.
+    """Reads the request body, up to the limit.
 
-    :raises BodyTooLargeError: as soon as it is longer.
-    :raises JsonMalformedError: if the caller ends before the body does.
+    :raises BodyTooLargeError: as soon as the body exceeds the limit.
+    :raises JsonMalformedError: if the client disconnects before the body is complete.
     """
     body = bytearray()
     try:
@@ -160,24 +160,24 @@
             if len(body) > MAX_BODY_BYTES:
                 raise BodyTooLargeError(f"the body is longer than {MAX_BODY_BYTES} bytes")
     except ClientDisconnect as error:
-        raise JsonMalformedError("the body was cut short") from error
+        raise JsonMalformedError("the client disconnected before the body was complete") from error
     return bytes(body)
 
 
 def make_revision_response(revision: int) -> Response:
-    """Answers an accepted change."""
+    """Builds the response to an accepted change."""
     return make_json_response({"revision": revision}, headers={"ETag": f'"{revision}"'})
 
 
 def choose_status(error: BerylproxyError) -> int:
-    """Chooses the HTTP status of an error."""
+    """Returns the HTTP status for an error."""
     if isinstance(error, RecordError):
         return error.status
     return 401 if error.code == OPERATOR_TOKEN_REQUIRED else 403
 
 
 def make_error_response(error: BerylproxyError) -> Response:
-    """Answers with an error as JSON."""
+    """Builds the JSON response for an error."""
     is_unknown = isinstance(error, RecordOutcomeUnknownError)
     content: dict[str, Any] = {
         "outcome": "outcome_unknown" if is_unknown else "not_run",
--- a/berylproxy/records/backoff.py
+++ b/berylproxy/records/backoff.py
@@ -1,4 +1,4 @@
-"""Delays between the repetitions of a failing call."""
+"""Delays between retries of a failing call."""
 
 from random import Random
 
@@ -9,7 +9,7 @@
     """Exponentially growing delays with jitter.
 
     :param first_delay_s: mean of the first delay.
-    :param max_delay_s: mean that the delays grow to; each is between half and one and a half of it.
+    :param max_delay_s: upper bound of the mean; each delay is between 0.5 and 1.5 times its mean.
     """
 
     def __init__(self, random: Random, first_delay_s: float, max_delay_s: float) -> None:
@@ -19,11 +19,11 @@
         self._failures = 0
 
     def reset(self) -> None:
-        """Starts over after a success."""
+        """Resets the delay to the first one after a successful call."""
         self._failures = 0
 
     def choose_delay_s(self) -> float:
-        """Chooses the next delay."""
+        """Returns the next delay and increases the mean of the one after it."""
         growth = 2 ** min(self._failures, MAX_DOUBLINGS)
         self._failures += 1
         mean_s = min(self._max_delay_s, self._first_delay_s * growth)
--- a/berylproxy/records/digest.py
+++ b/berylproxy/records/digest.py
@@ -1,6 +1,7 @@
-"""Digests over the keys and revisions of a view, by which two daemons find what differs.
+"""Digests over the keys and revisions of a view, from which two daemons find their differences.
 
-The highest revision alone does not tell: a daemon may have a later record and lack an earlier one.
+Comparing the highest revisions is not enough: a daemon may have a later record and lack an earlier
+one.
 """
 
 from hashlib import blake2b
@@ -10,7 +11,7 @@
 
 
 def choose_bucket(key: str) -> int:
-    """Returns the bucket of a key, the same in every daemon."""
+    """Returns the bucket of a key, which is the same in every daemon."""
     return blake2b(key.encode(), digest_size=1).digest()[0]
 
 
@@ -21,29 +22,32 @@
 
 
 class BucketDigests:
-    """One digest for each bucket of keys, kept up to date pair by pair."""
+    """One digest for each bucket of keys, updated incrementally with each key and revision."""
 
     def __init__(self) -> None:
         self._buckets = [0] * BUCKET_COUNT
         self._summary = ""
 
     def toggle(self, key: str, revision: int) -> None:
-        """Adds a pair that is not in the digest, or takes out one that is."""
+        """Adds a key and its revision to the digest, or removes them if they are in it."""
         self._buckets[choose_bucket(key)] ^= hash_pair(key, revision)
         self._summary = ""
 
     def encode(self) -> bytes:
-        """Encodes all buckets, 8 bytes each."""
+        """Returns the digests of all buckets, 8 bytes each."""
         return b"".join(bucket.to_bytes(DIGEST_BYTES, "big") for bucket in self._buckets)
 
     def summarize(self) -> str:
-        """Returns one short digest over all buckets."""
+        """Returns one hexadecimal digest over all buckets."""
         if not self._summary:
             self._summary = blake2b(self.encode(), digest_size=DIGEST_BYTES).hexdigest()
         return self._summary
 
-    def find_differing(self, encoded: bytes) -> set[int]:
-        """Lists the buckets that differ from another daemon's; all if it sent none."""
+    def find_differing_buckets(self, encoded: bytes) -> set[int]:
+        """Returns the buckets that differ from those of another daemon.
+
+        :param encoded: the other daemon's digests; all buckets differ if it sent none.
+        """
         if len(encoded) != BUCKET_COUNT * DIGEST_BYTES:
             return set(range(BUCKET_COUNT))
         own = self.encode()
--- a/berylproxy/records/editor.py
+++ b/berylproxy/records/editor.py
@@ -1,4 +1,4 @@
-"""Operators' changes to the records."""
+"""Validates the changes that operators make to records, and writes them to the store."""
 
 import secrets
 from collections.abc import Callable
@@ -8,7 +8,7 @@
 import anyio
 
 from berylproxy.records.envelope import (
-    MARK_KEY,
+    CREATION_MARKER_KEY,
     Envelope,
     decode_envelope,
     encode_envelope,
@@ -36,22 +36,27 @@
 )
 
 CALL_TIMEOUT_S = 3.0
-OUTCOME_TIMEOUT_S = 6.0  # bounds the search for the truth after a lost answer
+OUTCOME_TIMEOUT_S = 6.0  # bounds reading back and retrying a write whose answer was lost
 READ_BACK_INTERVAL_S = 0.25
 UNAVAILABLE_RETRY_AFTER_S = 5.0
 REVERTED_RETRY_AFTER_S = 60.0
 
 
 class ChangePublisher(Protocol):
-    """Tells other daemons of accepted changes."""
+    """Sends accepted changes to other daemons."""
 
     def publish(self, updates: tuple[Entry, ...], deletions: tuple[Entry, ...]) -> None:
         """Notifies all other daemons."""
 
 
 @dataclass(frozen=True, slots=True)
-class EditPace:
-    """Bounds on an edit's time."""
+class EditTimeouts:
+    """Timeouts of an edit.
+
+    :param call_timeout_s: timeout of each call to the store.
+    :param outcome_timeout_s: time for finding out whether a write without an answer took effect.
+    :param read_back_interval_s: pause between two attempts to read the record back.
+    """
 
     call_timeout_s: float = CALL_TIMEOUT_S
     outcome_timeout_s: float = OUTCOME_TIMEOUT_S
@@ -60,9 +65,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """One change on its way to the store.
+    """A change to be written to the store.
 
     :param value: the new value; ``None`` for a deletion.
+    :param expected_revision: the record's current revision; 0 if the record must not exist.
+    :param change_id: identifier that is stored with the record.
     """
 
     key: str
@@ -72,14 +79,15 @@
 
 
 def make_change_id() -> str:
-    """Makes a random change identifier of 16 hexadecimal digits."""
+    """Returns a random change identifier of 16 hexadecimal digits."""
     return secrets.token_hex(8)
 
 
 class RecordEditor:
-    """Checks operators' changes whole and writes each with one compare-and-swap.
+    """Validates operators' changes and writes each with one compare-and-swap.
 
-    :param accepts_writes: tells whether the store may be written to.
+    :param accepts_writes: returns whether writes to the store are allowed.
+    :param new_change_id: returns the identifier of the next change.
     """
 
     def __init__(
@@ -89,18 +97,18 @@
         publisher: ChangePublisher,
         accepts_writes: Callable[[], bool],
         *,
-        pace: EditPace | None = None,
+        timeouts: EditTimeouts | None = None,
         new_change_id: Callable[[], str] = make_change_id,
     ) -> None:
         self._store = store
         self._view = view
         self._publisher = publisher
         self._accepts_writes = accepts_writes
-        self._pace = pace or EditPace()
+        self._timeouts = timeouts or EditTimeouts()
         self._new_change_id = new_change_id
 
     def validate(self, kind: str, name: str, raw: Any) -> Record:
-        """Checks a record against its schema and the other records in force."""
+        """Validates a record against its schema and the other records in force."""
         record = parse_record(kind, name, raw)
         check_references(kind, record, self._view.configuration)
         return record
@@ -108,8 +116,9 @@
     async def put(self, kind: str, name: str, raw: Any, expected_revision: int) -> int:
         """Writes a record and returns its revision.
 
-        :param expected_revision: the record's revision now; 0 if it must not exist.
-        :raises RecordError: the subclass tells whether anything can have been written.
+        :param expected_revision: the record's current revision; 0 if the record must not exist.
+        :raises RecordOutcomeUnknownError: if the record may have been written.
+        :raises RecordError: any other subclass, if nothing was written.
         """
         self._check_writable()
         self.validate(kind, name, raw)
@@ -117,25 +126,31 @@
         value = encode_envelope(Envelope(change_id, expected_revision, raw))
         change = Change(make_key(kind, name), value, expected_revision, change_id)
         revision = await self._write(change)
-        self._accept((Entry(change.key, value, revision),), ())
+        self._apply_accepted((Entry(change.key, value, revision),), ())
         return revision
 
     async def delete(self, kind: str, name: str, expected_revision: int) -> int:
-        """Deletes a record and returns the revision of the deletion."""
+        """Deletes a record and returns the revision of the deletion.
+
+        :raises RecordOutcomeUnknownError: if the record may have been deleted.
+        :raises RecordError: any other subclass, if nothing was deleted.
+        """
         parse_kind(kind)
         check_name(kind, name)
         key = make_key(kind, name)
         if expected_revision == ABSENT_REVISION:
-            raise RecordNotFoundError(f"{kind}/{name}: a record that does not exist")
+            raise RecordNotFoundError(
+                f"{kind}/{name}: a record that is expected not to exist cannot be deleted"
+            )
         self._check_writable()
         check_unused(kind, name, self._view.configuration)
         change = Change(key, None, expected_revision, self._new_change_id())
         revision = await self._write(change)
-        self._accept((), (Entry(key, b"", revision),))
+        self._apply_accepted((), (Entry(key, b"", revision),))
         return revision
 
-    def _accept(self, updates: tuple[Entry, ...], deletions: tuple[Entry, ...]) -> None:
-        """Puts an accepted change in force here and sends it on, without the store."""
+    def _apply_accepted(self, updates: tuple[Entry, ...], deletions: tuple[Entry, ...]) -> None:
+        """Applies an accepted change to the view and publishes it, without reading the store."""
         self._view.apply(updates, deletions)
         self._publisher.publish(updates, deletions)
 
@@ -149,7 +164,7 @@
         if not self._view.is_loaded:
             raise RecordStoreUnavailableError(
                 "this daemon has no configuration yet; nothing was written",
-                hint="ask another daemon or come back",
+                hint="use another daemon or retry later",
                 retry_after_s=UNAVAILABLE_RETRY_AFTER_S,
             )
 
@@ -157,32 +172,32 @@
         try:
             is_new = self._view.find(change.key) is None
             if is_new and change.expected_revision == ABSENT_REVISION:
-                await self._write_mark(change.change_id)
-            return await self._swap(change)
+                await self._write_creation_marker(change.change_id)
+            return await self._send_change(change)
         except StoreConflictError:
             raise await self._explain_conflict(change) from None
         except StoreOutcomeUnknownError:
-            return await self._find_outcome(change)
+            return await self._resolve_outcome(change)
         except StoreError as error:
             raise make_unavailable(error) from None
 
-    async def _write_mark(self, change_id: str) -> None:
-        """Marks that a record is about to be created."""
+    async def _write_creation_marker(self, change_id: str) -> None:
+        """Writes the marker that a record is about to be created."""
         value = encode_envelope(Envelope(change_id, ABSENT_REVISION, None))
         try:
-            with anyio.fail_after(self._pace.call_timeout_s):
-                held = await self._store.get(MARK_KEY)
-                revision = held.revision if held else ABSENT_REVISION
-                await self._store.compare_and_swap(MARK_KEY, value, revision)
+            with anyio.fail_after(self._timeouts.call_timeout_s):
+                marker = await self._store.get(CREATION_MARKER_KEY)
+                revision = marker.revision if marker else ABSENT_REVISION
+                await self._store.compare_and_swap(CREATION_MARKER_KEY, value, revision)
         except StoreConflictError:
-            pass  # another new record has just been marked, which serves as well
+            pass  # the marker was just written for another new record, which has the same effect
         except StoreOutcomeUnknownError as error:
-            raise make_unavailable(error) from None  # of the record itself nothing is written
+            raise make_unavailable(error) from None  # the record itself has not been written
         except TimeoutError:
             raise StoreUnavailableError("the store did not answer") from None
 
-    async def _swap(self, change: Change) -> int:
-        with anyio.move_on_after(self._pace.call_timeout_s):
+    async def _send_change(self, change: Change) -> int:
+        with anyio.move_on_after(self._timeouts.call_timeout_s):
             if change.value is None:
                 return await self._store.delete(change.key, change.expected_revision)
             return await self._store.compare_and_swap(
@@ -193,37 +208,44 @@
     async def _explain_conflict(self, change: Change) -> RecordError:
         revision = None
         try:
-            with anyio.move_on_after(self._pace.call_timeout_s):
+            with anyio.move_on_after(self._timeouts.call_timeout_s):
                 entry = await self._store.get(change.key)
                 revision = entry.revision if entry else ABSENT_REVISION
         except StoreError:
             pass
         if revision is None:
-            held = self._view.find(change.key)
-            revision = held.entry.revision if held else ABSENT_REVISION
+            known = self._view.find(change.key)
+            revision = known.entry.revision if known else ABSENT_REVISION
         return make_conflict(change, revision)
 
-    async def _find_outcome(self, change: Change) -> int:
-        """Learns whether a write whose answer was lost took effect; repeats it if it did not."""
-        with anyio.move_on_after(self._pace.outcome_timeout_s):
+    async def _resolve_outcome(self, change: Change) -> int:
+        """Finds out whether a write without an answer took effect, and repeats it if it did not.
+
+        Returns the revision of the change.
+
+        :raises RecordConflictError: if another change was written instead.
+        :raises RecordOutcomeUnknownError: if the outcome cannot be determined.
+        """
+        with anyio.move_on_after(self._timeouts.outcome_timeout_s):
             while True:
                 try:
                     revision = await self._read_back(change)
                     if revision is not None:
                         return revision
-                    return await self._swap(change)
+                    return await self._send_change(change)
                 except StoreError:
-                    # A conflict means that the first write or another's came in between, and
-                    # anything else tells nothing: the next reading shows which.
-                    await anyio.sleep(self._pace.read_back_interval_s)
-        raise make_outcome_unknown(change, "the store stayed silent")
+                    # After a conflict, the next read shows whether the first write took effect or
+                    # that of another operator. After any other error, the outcome is still unknown.
+                    await anyio.sleep(self._timeouts.read_back_interval_s)
+        raise make_outcome_unknown(change, "the store did not answer in time")
 
     async def _read_back(self, change: Change) -> int | None:
         """Returns the revision of the change if it took effect, ``None`` if it may be repeated.
 
-        :raises StoreOutcomeUnknownError: if a later reading may tell.
-        :raises RecordConflictError: if another change won: this one certainly was not written.
-        :raises RecordOutcomeUnknownError: if later changes hide what became of it.
+        :raises StoreOutcomeUnknownError: if a later read may determine the outcome.
+        :raises RecordConflictError: if another change replaced the expected revision, so that
+            this one was certainly not written.
+        :raises RecordOutcomeUnknownError: if later changes hide the outcome.
         """
         listing = await self._store.list_prefix(change.key)
         entry = next((entry for entry in listing.entries if entry.key == change.key), None)
@@ -231,7 +253,7 @@
             if change.value is None:
                 return listing.revision
             if change.expected_revision == ABSENT_REVISION:
-                # Repeating could undo a deletion of the record by another operator.
+                # Repeating the write could undo a deletion of the record by another operator.
                 raise StoreOutcomeUnknownError("the record does not exist")
             raise make_outcome_unknown(change, "the record has been deleted since")
         if entry.revision == change.expected_revision:
@@ -248,23 +270,25 @@
 
 
 def make_conflict(change: Change, revision: int) -> RecordConflictError:
-    """Makes the error of an operator who was second."""
+    """Builds the error for a change whose expected revision is outdated."""
     state = f"at revision {revision}" if revision else "absent"
-    message = f"{change.key}: expected revision {change.expected_revision}, but it is {state}"
+    message = (
+        f"{change.key}: expected revision {change.expected_revision}, but the record is {state}"
+    )
     return RecordConflictError(message, revision)
 
 
 def make_unavailable(error: StoreError) -> RecordStoreUnavailableError:
-    """Makes the error of a change of which nothing was written."""
+    """Builds the error for a change that was certainly not written."""
     return RecordStoreUnavailableError(
         f"nothing was written: {error.message}",
-        hint="the configuration in force stays as it is",
+        hint="the configuration in force has not changed",
         retry_after_s=UNAVAILABLE_RETRY_AFTER_S,
     )
 
 
 def make_outcome_unknown(change: Change, reason: str) -> RecordOutcomeUnknownError:
-    """Makes the error of a write that may have taken effect."""
+    """Builds the error for a write that may have taken effect."""
     return RecordOutcomeUnknownError(
         f"{change.key}: the answer to the write was lost and {reason}",
         change.change_id,
--- a/berylproxy/records/envelope.py
+++ b/berylproxy/records/envelope.py
@@ -1,4 +1,4 @@
-"""The form in which records are kept in the store."""
+"""The encoding of records in the store."""
 
 import json
 from dataclasses import dataclass
@@ -9,27 +9,27 @@
 KEY_PREFIX = "berylproxy/records/"
 
 # Written before each new record. A store restored from a backup that lacks the new record also
-# lacks this write, so that the record is not taken for a deleted one.
-MARK_KEY = "berylproxy/records/marks/created"
+# lacks this write, so daemons do not mistake the missing record for a deleted one.
+CREATION_MARKER_KEY = "berylproxy/records/marks/created"
 
 
 def make_key(kind: str, name: str) -> str:
-    """Makes the store's key of a record."""
+    """Returns the key of a record in the store."""
     return f"{KEY_PREFIX}{kind}/{name}"
 
 
 def split_key(key: str) -> tuple[str, str]:
-    """Returns the kind and the name in a key; both may be wrong if another program wrote it."""
+    """Returns the kind and name in a key; both may be invalid if another program wrote the key."""
     kind, _, name = key.removeprefix(KEY_PREFIX).partition("/")
     return kind, name
 
 
 @dataclass(frozen=True, slots=True)
 class Envelope:
-    """A record with what is kept beside it.
+    """A record with the metadata that is stored with it.
 
-    :param change_id: random name of the change, by which its author knows it again.
-    :param replaces_revision: the revision that the change was made on, 0 for a new record.
+    :param change_id: random identifier by which the writer recognizes its own change.
+    :param replaces_revision: the revision that the change replaces, 0 for a new record.
     """
 
     change_id: str
@@ -37,32 +37,34 @@
     record: Any
 
 
-def refuse_duplicates(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
-    """Builds an object and refuses a name that occurs twice."""
+def reject_duplicate_names(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+    """Builds a JSON object; raises :class:`ValueError` if a name occurs twice."""
     built = dict(pairs)
     if len(built) != len(pairs):
-        raise ValueError("an object names a field twice")
+        raise ValueError("an object contains a field twice")
     return built
 
 
-def refuse_constant(constant: str) -> None:
-    """Refuses ``NaN`` and ``Infinity``, which JSON does not have."""
+def reject_constant(constant: str) -> None:
+    """Raises :class:`ValueError` for ``NaN`` and ``Infinity``, which are not valid JSON."""
     raise ValueError(f"{constant} is not JSON")
 
 
 def parse_json(text: bytes) -> Any:
-    """Parses strict JSON.
+    """Parses strict JSON: without ``NaN``, ``Infinity`` and duplicate names.
 
-    :raises JsonMalformedError: if it is not.
+    :raises JsonMalformedError: if the text is not strict JSON.
     """
     try:
-        return json.loads(text, object_pairs_hook=refuse_duplicates, parse_constant=refuse_constant)
+        return json.loads(
+            text, object_pairs_hook=reject_duplicate_names, parse_constant=reject_constant
+        )
     except (ValueError, RecursionError) as error:
-        raise JsonMalformedError(f"not a JSON text: {error}") from None
+        raise JsonMalformedError(f"not valid JSON: {error}") from None
 
 
 def encode_envelope(envelope: Envelope) -> bytes:
-    """Encodes for the store."""
+    """Encodes an envelope as the value of a store entry."""
     fields = {
         "change_id": envelope.change_id,
         "replaces_revision": envelope.replaces_revision,
@@ -72,10 +74,10 @@
 
 
 def decode_envelope(key: str, value: bytes) -> Envelope:
-    """Decodes a value of the store.
+    """Decodes the value of a store entry.
 
-    :raises RecordInvalidError: if it is no envelope.
-    :raises JsonMalformedError: if it is no JSON.
+    :raises RecordInvalidError: if the value is not an envelope.
+    :raises JsonMalformedError: if the value is not strict JSON.
     """
     fields = parse_json(value)
     if not isinstance(fields, dict) or "record" not in fields:
--- a/berylproxy/records/errors.py
+++ b/berylproxy/records/errors.py
@@ -1,4 +1,4 @@
-"""The errors of the records layer."""
+"""Errors raised by the records layer."""
 
 from dataclasses import dataclass
 
@@ -6,9 +6,9 @@
 
 
 class RecordError(BerylproxyError):
-    """Base of the records layer's errors.
+    """Base class of the records layer's errors.
 
-    :cvar status: HTTP status with which the operators' interface answers.
+    :cvar status: HTTP status of the response to the operator.
     """
 
     code = "record_error"
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FieldProblem:
-    """A rule that a field breaks.
+    """A violation of a field's rule.
 
     :param field: dotted name, such as ``takes.slots``; empty for the record as a whole.
     """
@@ -27,9 +27,9 @@
 
 
 class RecordInvalidError(RecordError):
-    """A record breaks a rule of its schema; nothing of it was taken.
+    """A record violates its schema; no part of it was accepted.
 
-    :param problems: the rules broken, in the order of the schema.
+    :param problems: the violated rules, in the order of the schema.
     """
 
     code = "record_invalid"
@@ -42,21 +42,21 @@
 
 
 class SchemaVersionUnknownError(RecordError):
-    """The record is written in a schema version that this daemon does not know."""
+    """The record has a schema version that this daemon does not support."""
 
     code = "schema_version_unknown"
     status = 422
 
 
 class RecordKindUnknownError(RecordError):
-    """There is no such kind of record."""
+    """The kind of record does not exist."""
 
     code = "record_kind_unknown"
     status = 404
 
 
 class RecordNotFoundError(RecordError):
-    """There is no such record."""
+    """The record does not exist."""
 
     code = "record_not_found"
     status = 404
@@ -65,33 +65,33 @@
 class RecordConflictError(RecordError):
     """The record is not at the expected revision; nothing was written.
 
-    :param current_revision: revision of the record now, 0 if it does not exist.
+    :param current_revision: the record's current revision; 0 if the record does not exist.
     """
 
     code = "record_conflict"
     status = 412
 
     def __init__(self, message: str, current_revision: int) -> None:
-        super().__init__(message, hint="read the record again and apply the change to what it says")
+        super().__init__(message, hint="read the record again and reapply the change")
         self.current_revision = current_revision
 
 
 class RecordInUseError(RecordError):
-    """Another record refers to the one to be deleted."""
+    """Another record refers to the record to be deleted."""
 
     code = "record_in_use"
     status = 409
 
 
 class RecordStoreUnavailableError(RecordError):
-    """The store cannot be reached; nothing was written."""
+    """The store is unavailable; nothing was written."""
 
     code = "record_store_unavailable"
     status = 503
 
 
 class StoreRevertedError(RecordError):
-    """The store came back older than the configuration in force; nothing was written."""
+    """The store was restored to a state before the configuration in force; nothing was written."""
 
     code = "store_reverted"
     status = 503
@@ -100,7 +100,7 @@
 class RecordOutcomeUnknownError(RecordError):
     """The write may have taken effect.
 
-    :param change_id: identifier that the stored record bears if it did.
+    :param change_id: the change identifier in the stored record if the write took effect.
     """
 
     code = "record_outcome_unknown"
@@ -112,21 +112,21 @@
 
 
 class JsonMalformedError(RecordError):
-    """The body is not a JSON text."""
+    """The body is not valid JSON."""
 
     code = "json_malformed"
     status = 400
 
 
 class BodyTooLargeError(RecordError):
-    """The body is longer than the limit."""
+    """The body exceeds the size limit."""
 
     code = "body_too_large"
     status = 413
 
 
 class PreconditionRequiredError(RecordError):
-    """The call names no expected revision, or one that cannot be read."""
+    """The request has no expected revision or an invalid one."""
 
     code = "precondition_required"
     status = 428
--- a/berylproxy/records/fields.py
+++ b/berylproxy/records/fields.py
@@ -1,4 +1,4 @@
-"""The types of the records' fields, with their bounds."""
+"""Types of record fields, with their bounds."""
 
 import re
 from ipaddress import ip_address
@@ -23,7 +23,10 @@
 
 
 def check_endpoint_url(url: str) -> str:
-    """Accepts ``http(s)://<IP address>:<port>[/path]`` and returns it unchanged."""
+    """Validates ``http(s)://<IP address>:<port>[/path]`` and returns it unchanged.
+
+    :raises ValueError: if the URL has another form.
+    """
     if not URL_PATTERN.fullmatch(url):
         raise ValueError("must be http:// or https:// and printable ASCII, at most 500 characters")
     parts = urlsplit(url)
@@ -36,20 +39,23 @@
     except ValueError:
         raise ValueError("the host must be an IPv4 or IPv6 address") from None
     if not parts.port:
-        raise ValueError("must name a port from 1 to 65535")
+        raise ValueError("must have a port from 1 to 65535")
     if parts.path.endswith("/"):
         raise ValueError("must not end in a slash")
     return url
 
 
 def check_unique(names: list[str]) -> list[str]:
-    """Accepts a list without duplicates and returns it unchanged."""
+    """Validates that a list has no duplicates and returns it unchanged.
+
+    :raises ValueError: if a name occurs twice.
+    """
     if len(set(names)) != len(names):
-        raise ValueError("must not name anything twice")
+        raise ValueError("must not contain duplicates")
     return names
 
 
-# Pydantic's ``$`` would be Rust's end of text, so the anchors make this a full match.
+# Pydantic matches in Rust, where ``$`` is only the end of the text: the anchors force a full match.
 Name = Annotated[str, Field(pattern=f"^{NAME_PATTERN}$")]
 Sha256 = Annotated[str, Field(pattern=SHA256_PATTERN)]
 DurationS = Annotated[float, Field(gt=0, le=MAX_TIMEOUT_S, allow_inf_nan=False)]
--- a/berylproxy/records/leaving.py
+++ b/berylproxy/records/leaving.py
@@ -1,4 +1,4 @@
-"""Marks endpoints as leaving when the platform's list of VMs says that their VM is."""
+"""Marks endpoints as leaving when the platform's list of VMs shows their VM as leaving."""
 
 from dataclasses import replace
 from urllib.parse import urlsplit
@@ -9,7 +9,7 @@
 def mark_leaving_endpoints(
     configuration: Configuration, leaving_hosts: frozenset[str]
 ) -> Configuration:
-    """Returns the configuration with the endpoints on leaving VMs marked."""
+    """Returns the configuration with the endpoints on leaving VMs marked as leaving."""
     if not leaving_hosts:
         return configuration
     endpoints = {
--- a/berylproxy/records/messages.py
+++ b/berylproxy/records/messages.py
@@ -1,4 +1,4 @@
-"""What daemons tell one another about records.
+"""Messages that daemons exchange about records.
 
 All fields are plain msgpack values. An entry is ``[key, value, revision]`` and a tombstone
 ``[key, revision]``.
@@ -12,21 +12,21 @@
 from berylproxy.store.port import Entry
 
 MAX_MESSAGE_BYTES = 256 * 1024
-ITEM_OVERHEAD_BYTES = 32  # list, length and integer headers of one item
+ITEM_OVERHEAD_BYTES = 32  # msgpack headers of the list, strings and integer of one item
 
 
 class RecordMessageInvalidError(RecordError):
-    """Another daemon sent something that is no message about records."""
+    """Another daemon sent a malformed message about records."""
 
     code = "record_message_invalid"
 
 
 @dataclass(frozen=True, slots=True)
 class FetchRecords:
-    """Asks for the records in which the receiver differs.
+    """Requests the records in which the receiver differs from the sender.
 
-    :param bucket_digests: the sender's digests; empty for all records.
-    :param after_key: the last key of the chunk before; empty for the first chunk.
+    :param bucket_digests: the sender's digests; empty to request all records.
+    :param after_key: the last key of the previous chunk; empty for the first chunk.
     """
 
     bucket_digests: bytes
@@ -35,11 +35,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Records:
-    """One chunk of the answer to :class:`FetchRecords`, in the order of keys.
+    """One chunk of the answer to :class:`FetchRecords`, sorted by key.
 
-    :param is_loaded: whether the sender has a whole view.
+    :param is_loaded: whether the sender's view is complete.
     :param revision: the sender's highest revision.
-    :param forgotten_revision: up to where the sender may have dropped tombstones.
+    :param forgotten_revision: the revision up to which the sender may have dropped tombstones.
     :param next_after_key: ``after_key`` of the next chunk; empty after the last one.
     """
 
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordsAccepted:
-    """Tells of changes that the store has just accepted."""
+    """Notifies other daemons of changes that the store has accepted."""
 
     entries: list[Any]
     tombstones: list[Any]
@@ -72,7 +72,7 @@
 def unpack_entries(items: Any) -> list[Entry]:
     """Unpacks the entries of a message.
 
-    :raises RecordMessageInvalidError: if one is malformed or the store cannot have accepted it.
+    :raises RecordMessageInvalidError: if an entry is malformed or cannot come from the store.
     """
     return [unpack_item(item, 3) for item in check_list(items)]
 
@@ -86,22 +86,25 @@
 
 
 def check_list(items: Any) -> list[Any]:
-    """Accepts a list or tuple, the two forms in which msgpack libraries return arrays."""
+    """Returns the items as a list; msgpack libraries return arrays as lists or as tuples.
+
+    :raises RecordMessageInvalidError: if ``items`` is neither.
+    """
     if not isinstance(items, list | tuple):
         raise RecordMessageInvalidError("not a list of records")
     return list(items)
 
 
 def unpack_item(item: Any, length: int) -> Entry:
-    """Checks and unpacks one entry of three fields or one tombstone of two."""
+    """Validates and unpacks an entry of three fields or a tombstone of two."""
     if not isinstance(item, list | tuple) or len(item) != length:
         raise RecordMessageInvalidError(f"not a record of {length} fields")
     key, revision = item[0], item[-1]
     value = item[1] if length == 3 else b""
     if not isinstance(key, str) or not key.startswith(KEY_PREFIX):
-        raise RecordMessageInvalidError("not a key of a record")
+        raise RecordMessageInvalidError("not the key of a record")
     if not isinstance(value, bytes):
-        raise RecordMessageInvalidError(f"{key}: not a value")
+        raise RecordMessageInvalidError(f"{key}: the value is not a byte string")
     if type(revision) is not int or revision <= 0:
-        raise RecordMessageInvalidError(f"{key}: not a revision of the store")
+        raise RecordMessageInvalidError(f"{key}: the revision is not a positive integer")
     return Entry(key, value, revision)
--- a/berylproxy/records/models.py
+++ b/berylproxy/records/models.py
@@ -1,18 +1,18 @@
-"""Configuration as the daemon uses it, whatever schema version each record was written in."""
+"""The configuration in the form that the daemon uses, independent of schema versions."""
 
 from dataclasses import dataclass, field
 
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """What callers may ask for.
-
-    :param pools: names of the pools whose endpoints serve it.
-    :param timeout_s: the longest that a job of this service may take.
-    :param run_time_s: declared run time of a task; the first guess before one is learnt.
-    :param max_body_bytes: the largest body of one task.
-    :param repeat_after_failure: whether a task may run again after a finished failure.
-    :param max_run_time_s: the time after which a started task is given up on.
+    """A service that callers may submit tasks to.
+
+    :param pools: names of the pools whose endpoints run its tasks.
+    :param timeout_s: the longest time that a job of this service may take.
+    :param run_time_s: declared run time of a task, the estimate until run times are observed.
+    :param max_body_bytes: maximum body size of one task.
+    :param repeat_after_failure: whether a task may run again after a run that ended in failure.
+    :param max_run_time_s: the time after which a started task is abandoned.
     """
 
     name: str
@@ -36,12 +36,13 @@
     """A back end that runs tasks.
 
     :param url: base URL, such as ``http://10.0.3.7:8080``.
-    :param slots: how many tasks it may run at once.
-    :param connections: how many connections it accepts from all daemons together.
-    :param resources: what one task may need at most, by name (``memory_mb``, ``accelerators``).
-    :param owner: who owns it.
-    :param cost_bearer: who is billed for the work it receives.
-    :param leaving: whether it must get no new work.
+    :param slots: how many tasks the endpoint may run at once.
+    :param connections: how many connections the endpoint accepts from all daemons together.
+    :param resources: the resources that one task may use at most, by name (``memory_mb``,
+        ``accelerators``).
+    :param owner: name of the owner of the endpoint.
+    :param cost_bearer: name of the party that is billed for the tasks of the endpoint.
+    :param leaving: whether the endpoint must not receive new tasks.
     """
 
     name: str
@@ -60,8 +61,8 @@
 class Team:
     """A submitting team with its quota.
 
-    :param token_sha256: hexadecimal digests of the tokens accepted; empty if none is asked for.
-    :param max_running_tasks: quota of tasks that run at once over the whole system.
+    :param token_sha256: hexadecimal digests of the accepted tokens; empty if no token is required.
+    :param max_running_tasks: quota of tasks that run at once in the whole system.
     :param max_waiting_tasks: quota of tasks that wait at one daemon.
     :param weight: the team's share when teams compete for slots.
     """
--- a/berylproxy/records/references.py
+++ b/berylproxy/records/references.py
@@ -1,4 +1,4 @@
-"""Rules between records."""
+"""Checks of the references between records."""
 
 from berylproxy.records.errors import FieldProblem, RecordInUseError, RecordInvalidError
 from berylproxy.records.models import Configuration, Endpoint, Service
@@ -8,7 +8,7 @@
 
 
 def list_missing_pools(record: Record, configuration: Configuration) -> list[FieldProblem]:
-    """Lists the references of one record to pools that do not exist."""
+    """Returns the references of one record to pools that do not exist."""
     if isinstance(record, Service):
         return [
             FieldProblem(f"pools.{position}", f"no such pool: {pool}")
@@ -21,20 +21,20 @@
 
 
 def check_references(kind: str, record: Record, configuration: Configuration) -> None:
-    """Checks that all that a record refers to exists.
+    """Checks that all records exist that a record refers to.
 
-    :raises RecordInvalidError: if something does not.
+    :raises RecordInvalidError: if a referenced record does not exist.
     """
     problems = list_missing_pools(record, configuration)
     if problems:
         subject = f"{kind}/{record.name}"
-        raise RecordInvalidError(subject, tuple(problems), hint="apply the pool first")
+        raise RecordInvalidError(subject, tuple(problems), hint="create the pool first")
 
 
 def check_unused(kind: str, name: str, configuration: Configuration) -> None:
-    """Checks that no record refers to the named one.
+    """Checks that no other record refers to a record.
 
-    :raises RecordInUseError: if one does.
+    :raises RecordInUseError: if another record refers to it.
     """
     if kind != RecordKind.POOLS:
         return
@@ -49,10 +49,10 @@
         )
 
 
-def list_dangling(configuration: Configuration) -> dict[str, list[FieldProblem]]:
-    """Lists the references to missing pools by record (``services/enquiry``).
+def list_dangling_references(configuration: Configuration) -> dict[str, list[FieldProblem]]:
+    """Returns the references to missing pools by record (``services/enquiry``).
 
-    Operators who race one another can make them; the records stay in force.
+    Concurrent changes by operators can lead to dangling references; the records stay in force.
     """
     dangling = {}
     for kind, records in (
--- a/berylproxy/records/schemas.py
+++ b/berylproxy/records/schemas.py
@@ -1,7 +1,7 @@
-"""The schemas of the records, and their conversion to the data classes that the daemon uses.
+"""Schemas of the records, and their conversion to the data classes that the daemon uses.
 
-Several schema versions of a kind stand side by side: :data:`SCHEMAS` maps each to its model, and
-each model converts itself, so that the rest of the daemon meets one form only.
+Several schema versions of a kind are supported at once: :data:`SCHEMAS` maps each version to its
+pydantic model, and each model converts itself, so the rest of the daemon handles one form only.
 """
 
 import re
@@ -39,7 +39,7 @@
 
 
 class RecordKind(StrEnum):
-    """The kinds of records, as they stand in keys and URLs."""
+    """The kinds of records, as written in keys and URLs."""
 
     SERVICES = "services"
     POOLS = "pools"
@@ -55,7 +55,7 @@
 
 
 class StrictModel(BaseModel):
-    """Refuses unknown fields and values of another type."""
+    """A pydantic model that rejects unknown fields and values of another type."""
 
     model_config = ConfigDict(strict=True, extra="forbid", frozen=True, hide_input_in_errors=True)
 
@@ -73,7 +73,7 @@
 
     @model_validator(mode="after")
     def check_durations(self) -> "ServiceV1":
-        """Accepts durations in the order ``run_time_s``, ``max_run_time_s``, ``timeout_s``."""
+        """Checks that ``run_time_s`` <= ``max_run_time_s`` <= ``timeout_s``."""
         if not self.run_time_s <= self.max_run_time_s <= self.timeout_s:
             raise ValueError("must be run_time_s <= max_run_time_s <= timeout_s")
         return self
@@ -130,7 +130,7 @@
 
 
 class Takes(StrictModel):
-    """What an endpoint may take: tasks and connections at once, and what one task may need."""
+    """Limits of an endpoint: concurrent tasks and connections, and resources per task."""
 
     slots: Slots
     connections: Connections
@@ -139,7 +139,7 @@
 
 
 class EndpointV2(StrictModel):
-    """An endpoint, schema version 2: what it takes and who bears the cost are stated."""
+    """An endpoint, schema version 2: adds resource limits and an explicit cost bearer."""
 
     schema_version: Literal[2]
     pool: Name
@@ -199,9 +199,9 @@
 
 
 def parse_kind(kind: str) -> RecordKind:
-    """Finds a kind by its name.
+    """Returns the kind with the given name.
 
-    :raises RecordKindUnknownError: if there is none.
+    :raises RecordKindUnknownError: if there is no such kind.
     """
     try:
         return RecordKind(kind)
@@ -215,15 +215,19 @@
 def check_name(kind: str, name: str) -> None:
     """Checks a record's name.
 
-    :raises RecordInvalidError: if it breaks the rule.
+    :raises RecordInvalidError: if the name does not match :data:`NAME_PATTERN`.
     """
     if not re.fullmatch(NAME_PATTERN, name):
         problem = FieldProblem("name", f"must match {NAME_PATTERN}")
         raise RecordInvalidError(f"{kind}/{name!r:.80}", (problem,))
 
 
-def choose_schema(kind: RecordKind, name: str, raw: Any) -> type[StrictModel]:
-    """Finds the schema that a raw record says it is written in."""
+def find_schema(kind: RecordKind, name: str, raw: Any) -> type[StrictModel]:
+    """Returns the schema for the ``schema_version`` of a raw record.
+
+    :raises RecordInvalidError: if the record is not an object or has no valid version.
+    :raises SchemaVersionUnknownError: if this daemon does not support the version.
+    """
     subject = f"{kind}/{name}"
     if not isinstance(raw, dict):
         raise RecordInvalidError(subject, (FieldProblem("", "must be a JSON object"),))
@@ -235,23 +239,23 @@
     if version not in schemas:
         known = ", ".join(str(known) for known in schemas)
         raise SchemaVersionUnknownError(
-            f"{subject}: schema_version: not known to this daemon",
+            f"{subject}: schema_version: not supported by this daemon",
             hint=f"known versions of {kind}: {known}; upgrade all daemons before using a newer one",
         )
     return schemas[version]
 
 
 def parse_record(kind: str, name: str, raw: Any) -> Record:
-    """Checks a raw record whole and converts it.
+    """Validates a raw record and converts it to the data class that the daemon uses.
 
     :param raw: the parsed JSON of the record.
     :raises RecordKindUnknownError: if there is no such kind.
-    :raises SchemaVersionUnknownError: if it is written in a version that is not known here.
-    :raises RecordInvalidError: if it breaks any rule.
+    :raises SchemaVersionUnknownError: if this daemon does not support the schema version.
+    :raises RecordInvalidError: if the record violates its schema.
     """
     record_kind = parse_kind(kind)
     check_name(kind, name)
-    schema = choose_schema(record_kind, name, raw)
+    schema = find_schema(record_kind, name, raw)
     try:
         return schema.model_validate(raw).to_model(name)
     except ValidationError as error:
@@ -259,7 +263,7 @@
 
 
 def list_problems(error: ValidationError) -> tuple[FieldProblem, ...]:
-    """Lists the fields at fault without the values given, which may be secret."""
+    """Returns the invalid fields without their values, which may be secret."""
     details = error.errors(include_url=False, include_context=False, include_input=False)
     return tuple(
         FieldProblem(".".join(str(part) for part in detail["loc"]), detail["msg"])
@@ -268,7 +272,7 @@
 
 
 def export_json_schemas() -> dict[str, dict[str, Any]]:
-    """Exports the JSON schema of each kind and version, such as ``["endpoints"]["2"]``."""
+    """Returns the JSON schema of each kind and version, such as ``["endpoints"]["2"]``."""
     return {
         str(kind): {str(version): model.model_json_schema() for version, model in models.items()}
         for kind, models in SCHEMAS.items()
--- a/berylproxy/records/spread.py
+++ b/berylproxy/records/spread.py
@@ -1,8 +1,8 @@
-"""Passes accepted records between daemons, so that they come into force without the store.
+"""Replicates accepted records between daemons, so that they take effect without the store.
 
-A change is sent to all daemons at once. What one missed shows in the digest of the next
-heartbeats, and it fetches what differs from one of them. A daemon that starts while the store is
-out fetches all.
+A change is sent to all daemons at once. A daemon that missed a change detects it by the digests in
+the next heartbeats, and fetches the differing records from one of the other daemons. A daemon that
+starts while the store is unavailable fetches all records.
 """
 
 from dataclasses import dataclass
@@ -30,28 +30,28 @@
 from berylproxy.records.view import RecordView
 from berylproxy.store.port import Entry
 
-CONFIG_PART = "config"  # the records' part of a heartbeat
-MAX_CHUNKS = 4_096
+CONFIG_PART = "config"  # key of the records' part of a heartbeat
+MAX_CHUNKS = 4_096  # bounds a fetch from a peer that never sends a last chunk
 
 logger = Logger(__name__)
 
 
 class ViewState(StrEnum):
-    """Whether the daemon can serve by its view."""
+    """Whether the daemon has a view that it can serve requests with."""
 
     LOADED = "loaded"
     LOADING = "loading"
-    SOURCELESS = "no_configuration_source"  # neither store nor peer within the stated wait
+    NO_SOURCE = "no_configuration_source"  # no view from the store or a peer within the timeout
 
 
 @dataclass(frozen=True, slots=True)
-class SpreadPace:
-    """Bounds on the traffic between daemons.
+class ReplicationLimits:
+    """Timeouts and size limits of the replication between daemons.
 
-    :param check_interval_s: time between looks at the members' digests.
-    :param request_timeout_s: time after which a peer's answer is given up on.
+    :param check_interval_s: time between two comparisons with the members' digests.
+    :param request_timeout_s: timeout of each request to a peer.
     :param source_timeout_s: wait for a first view, after which the daemon reports that it has none.
-    :param max_chunk_bytes: the largest message.
+    :param max_chunk_bytes: maximum size of a message.
     """
 
     check_interval_s: float = 1.0
@@ -60,10 +60,10 @@
     max_chunk_bytes: int = MAX_MESSAGE_BYTES
 
 
-class RecordSpreader:
-    """Exchanges records with the other daemons.
+class RecordReplicator:
+    """Exchanges records with the other daemons and applies them to the view.
 
-    :param random: chooses among the members to fetch from.
+    :param random: selects the member to fetch from.
     """
 
     def __init__(
@@ -72,29 +72,29 @@
         network: PeerNetwork,
         random: Random,
         *,
-        pace: SpreadPace | None = None,
+        limits: ReplicationLimits | None = None,
     ) -> None:
         self._view = view
         self._network = network
         self._random = random
-        self._pace = pace or SpreadPace()
-        self._suspected: set[tuple[str, str, str]] = set()
-        self._fruitless: set[tuple[str, str, str]] = set()
-        self._sourceless = anyio.Event()
+        self._limits = limits or ReplicationLimits()
+        self._previous_differences: set[tuple[str, str, str]] = set()
+        self._unproductive_differences: set[tuple[str, str, str]] = set()
+        self._source_timed_out = anyio.Event()
 
     @property
     def state(self) -> ViewState:
-        """Whether the daemon can serve by its view."""
+        """Whether the daemon has a view that it can serve requests with."""
         if self._view.is_loaded:
             return ViewState.LOADED
-        return ViewState.SOURCELESS if self._sourceless.is_set() else ViewState.LOADING
+        return ViewState.NO_SOURCE if self._source_timed_out.is_set() else ViewState.LOADING
 
-    async def wait_sourceless(self) -> None:
-        """Waits until the stated wait for a first view is over in vain."""
-        await self._sourceless.wait()
+    async def wait_for_source_timeout(self) -> None:
+        """Waits until the timeout for a first view has passed without one."""
+        await self._source_timed_out.wait()
 
     def make_heartbeat_part(self) -> dict[str, Any]:
-        """Makes the part :data:`CONFIG_PART` of this daemon's heartbeats."""
+        """Returns the part :data:`CONFIG_PART` of this daemon's heartbeats."""
         return {
             "revision": self._view.revision,
             "digest": self._view.digests.summarize(),
@@ -109,23 +109,23 @@
                 self._network.notify(member.identity.incarnation, message)
 
     def handle_accepted(self, message: RecordsAccepted) -> None:
-        """Takes in another daemon's notification.
+        """Applies the changes in a notification from another daemon.
 
-        :raises RecordMessageInvalidError: if it is malformed; nothing of it was taken.
+        :raises RecordMessageInvalidError: if the message is malformed; no change was applied.
         """
         updates = unpack_entries(message.entries)
         deletions = unpack_tombstones(message.tombstones)
         self._view.apply_from_peer(updates, deletions)
 
     def handle_fetch(self, message: FetchRecords) -> Records:
-        """Answers another daemon's request with the next chunk of what differs.
+        """Returns the next chunk of the differing records that another daemon requests.
 
         :raises RecordMessageInvalidError: if the request is malformed.
         """
         if not isinstance(message.after_key, str) or not isinstance(message.bucket_digests, bytes):
             raise RecordMessageInvalidError("not a request for records")
         snapshot = self._view.take_snapshot()
-        buckets = self._view.digests.find_differing(message.bucket_digests)
+        buckets = self._view.digests.find_differing_buckets(message.bucket_digests)
         keys = sorted(
             key
             for key in (*snapshot.entries, *snapshot.tombstones)
@@ -141,7 +141,7 @@
             size_bytes += (
                 len(key.encode()) + ITEM_OVERHEAD_BYTES + len(entry.value if entry else b"")
             )
-            if size_bytes > self._pace.max_chunk_bytes and (entries or tombstones):
+            if size_bytes > self._limits.max_chunk_bytes and (entries or tombstones):
                 next_after_key = last_key
                 break
             if entry:
@@ -159,42 +159,46 @@
         )
 
     async def run(self) -> None:
-        """Fetches what differs until cancelled."""
+        """Fetches differing records from other daemons until cancelled."""
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._watch_for_source)
+            tasks.start_soon(self._watch_source_timeout)
             while True:
                 await self.reconcile()
-                await anyio.sleep(self._pace.check_interval_s)
+                await anyio.sleep(self._limits.check_interval_s)
 
     async def reconcile(self) -> None:
-        """Looks at the members' digests once and fetches from at most one of them.
+        """Compares the members' digests once and fetches from at most one member.
 
-        With a view loaded, a difference must last for two looks: a change on its way to both
-        daemons is none.
+        Once the view is loaded, a difference must be seen in two successive comparisons, because a
+        change that is being sent to both daemons causes a short-lived difference.
         """
-        differing = {self._describe(member): member for member in self._list_differing()}
-        self._fruitless &= set(differing)
-        lasting = {
-            pair: member
-            for pair, member in differing.items()
-            if pair in self._suspected or not self._view.is_loaded
+        differing = {self._identify_difference(member): member for member in self._list_differing()}
+        self._unproductive_differences &= set(differing)
+        persistent = {
+            difference: member
+            for difference, member in differing.items()
+            if difference in self._previous_differences or not self._view.is_loaded
         }
-        self._suspected = set(differing)
-        candidates = [pair for pair in lasting if pair not in self._fruitless]
+        self._previous_differences = set(differing)
+        candidates = [
+            difference
+            for difference in persistent
+            if difference not in self._unproductive_differences
+        ]
         if not candidates:
             return
-        pair = self._random.choice(sorted(candidates))
-        await self._fetch_safely(pair, lasting[pair])
+        difference = self._random.choice(sorted(candidates))
+        await self._try_fetch(difference, persistent[difference])
 
-    async def _watch_for_source(self) -> None:
-        with anyio.move_on_after(self._pace.source_timeout_s):
+    async def _watch_source_timeout(self) -> None:
+        with anyio.move_on_after(self._limits.source_timeout_s):
             await self._view.wait_loaded()
             return
-        self._sourceless.set()
-        logger.error("no configuration from the store or a peer: not ready")
+        self._source_timed_out.set()
+        logger.error("received no configuration from the store or a peer; the daemon is not ready")
 
     def _list_differing(self) -> list[Member]:
-        """Lists the living members with a whole view that differs from this one."""
+        """Returns the live members whose view is complete and differs from this daemon's."""
         differing = []
         for member in self._network.members():
             part = member.heartbeat.get(CONFIG_PART)
@@ -205,12 +209,12 @@
                 differing.append(member)
         return differing
 
-    def _describe(self, member: Member) -> tuple[str, str, str]:
-        """Names a difference: who differs, from which digest to which."""
-        theirs = str(member.heartbeat[CONFIG_PART].get("digest"))
-        return (member.identity.incarnation, theirs, self._view.digests.summarize())
+    def _identify_difference(self, member: Member) -> tuple[str, str, str]:
+        """Returns the member's incarnation, its digest and this daemon's digest."""
+        member_digest = str(member.heartbeat[CONFIG_PART].get("digest"))
+        return (member.identity.incarnation, member_digest, self._view.digests.summarize())
 
-    async def _fetch_safely(self, pair: tuple[str, str, str], member: Member) -> None:
+    async def _try_fetch(self, difference: tuple[str, str, str], member: Member) -> None:
         was_loaded = self._view.is_loaded
         try:
             changed = await self._fetch(member)
@@ -218,21 +222,27 @@
             logger.info("fetching records from {} failed: {}", member.identity.daemon_id, error)
             return
         if was_loaded and not changed:
-            # The member is the one behind, or is left with what only the store can tell.
-            self._fruitless.add(pair)
+            # The member itself lacks changes, or only the store can resolve the difference.
+            self._unproductive_differences.add(difference)
 
     async def _fetch(self, member: Member) -> bool:
-        """Fetches what differs from a member, chunk by chunk; tells whether anything was new."""
+        """Fetches the differing records from a member, chunk by chunk.
+
+        Returns whether the view changed.
+
+        :raises PeerError: if a request fails.
+        :raises RecordMessageInvalidError: if the member's answer is malformed or incomplete.
+        """
         digests = self._view.digests.encode() if self._view.is_loaded else b""
         changed = False
         after_key = ""
         for _ in range(MAX_CHUNKS):
             request = FetchRecords(digests, after_key)
             reply = await self._network.request(
-                member.identity.incarnation, request, self._pace.request_timeout_s
+                member.identity.incarnation, request, self._limits.request_timeout_s
             )
             if not isinstance(reply, Records) or not reply.is_loaded:
-                raise RecordMessageInvalidError("the peer has no whole view")
+                raise RecordMessageInvalidError("the peer has no complete view")
             updates = unpack_entries(reply.entries)
             changed |= self._view.apply_from_peer(updates, unpack_tombstones(reply.tombstones))
             if not reply.next_after_key:
@@ -242,4 +252,4 @@
             if reply.next_after_key <= after_key:
                 raise RecordMessageInvalidError("the peer repeats a chunk")
             after_key = reply.next_after_key
-        raise RecordMessageInvalidError("the peer sends without end")
+        raise RecordMessageInvalidError("the peer sent too many chunks")
--- a/berylproxy/records/view.py
+++ b/berylproxy/records/view.py
@@ -1,7 +1,8 @@
 """The daemon's current view of all records.
 
-The highest revision of each key wins, whichever way it came, so nothing in force reverts. A record
-that cannot be parsed leaves its earlier form in force and is reported.
+The highest revision of each key wins, whether it came from the store or from a peer, so no record
+in force reverts to an older revision. If a record cannot be parsed, its earlier revision stays in
+force and the problem is reported.
 """
 
 from collections import OrderedDict
@@ -13,10 +14,10 @@
 from logbook import Logger
 
 from berylproxy.records.digest import BucketDigests
-from berylproxy.records.envelope import MARK_KEY, decode_envelope, make_key, split_key
+from berylproxy.records.envelope import CREATION_MARKER_KEY, decode_envelope, make_key, split_key
 from berylproxy.records.errors import RecordError
 from berylproxy.records.models import Configuration
-from berylproxy.records.references import list_dangling
+from berylproxy.records.references import list_dangling_references
 from berylproxy.records.schemas import Record, RecordKind, parse_record
 from berylproxy.store.port import Entry, Listing
 
@@ -27,43 +28,44 @@
 
 @dataclass(frozen=True, slots=True)
 class ViewedRecord:
-    """A record as the view holds it.
+    """A record in the view.
 
-    :param entry: the stored value, as other daemons get it.
-    :param change_id: name of the change that made it; empty if unreadable.
+    :param entry: the stored value, as sent to other daemons.
+    :param change_id: identifier of the change that wrote the record; empty if unreadable.
     :param raw: the record's JSON; ``None`` if unreadable.
-    :param form: what is in force, possibly from an earlier revision; ``None`` if nothing is.
-    :param form_revision: revision that ``form`` was parsed from.
-    :param problem: why this revision is not in force; ``None`` if it is.
+    :param record_in_force: the parsed record in force, possibly of an earlier revision; ``None`` for
+        the creation marker and if no revision could be parsed.
+    :param revision_in_force: revision of ``record_in_force``; 0 if no revision could be parsed.
+    :param problem: the reason why this revision is not in force; ``None`` if it is in force.
     """
 
     entry: Entry
     change_id: str
     raw: Any
-    form: Record | None
-    form_revision: int
+    record_in_force: Record | None
+    revision_in_force: int
     problem: RecordError | None
 
 
 @dataclass(frozen=True, slots=True)
 class RecordProblem:
-    """Something about a record that an operator should look at.
+    """A problem of a record that an operator should resolve.
 
-    :param revision: revision of the record that has the problem.
-    :param form_revision: revision in force instead, 0 if none.
+    :param revision: the revision that has the problem.
+    :param revision_in_force: the revision in force instead, 0 if none.
     """
 
     kind: str
     name: str
     revision: int
-    form_revision: int
+    revision_in_force: int
     code: str
     message: str
 
 
 @dataclass(frozen=True, slots=True)
 class ViewSnapshot:
-    """What a view held at one moment, to compare a listing with.
+    """A copy of the view's contents at one moment, for comparison with a listing.
 
     :param entries: the stored values by key.
     :param tombstones: revision of each deletion by key.
@@ -75,8 +77,8 @@
 
 
 def read_entry(entry: Entry, earlier: ViewedRecord | None) -> ViewedRecord:
-    """Parses an entry; one that cannot be parsed keeps the earlier form."""
-    if entry.key == MARK_KEY:
+    """Parses an entry; if it cannot be parsed, the earlier revision stays in force."""
+    if entry.key == CREATION_MARKER_KEY:
         return ViewedRecord(entry, "", None, None, entry.revision, None)
     kind, name = split_key(entry.key)
     change_id = ""
@@ -85,19 +87,22 @@
         envelope = decode_envelope(entry.key, entry.value)
         change_id = envelope.change_id
         raw = envelope.record
-        form = parse_record(kind, name, raw)
+        record_in_force = parse_record(kind, name, raw)
     except RecordError as error:
-        kept_form = earlier.form if earlier else None
-        kept_revision = earlier.form_revision if earlier else 0
+        earlier_record = earlier.record_in_force if earlier else None
+        earlier_revision = earlier.revision_in_force if earlier else 0
         logger.warning(
-            "record {} revision {} not in force: {}", entry.key, entry.revision, error.message
+            "record {} at revision {} is not in force: {}", entry.key, entry.revision, error.message
         )
-        return ViewedRecord(entry, change_id, raw, kept_form, kept_revision, error)
-    return ViewedRecord(entry, change_id, raw, form, entry.revision, None)
+        return ViewedRecord(entry, change_id, raw, earlier_record, earlier_revision, error)
+    return ViewedRecord(entry, change_id, raw, record_in_force, entry.revision, None)
 
 
 class RecordView:
-    """All records known to the daemon, and the configuration built from them."""
+    """All records known to the daemon, and the configuration built from them.
+
+    :param max_tombstones: how many deletions are remembered.
+    """
 
     def __init__(self, *, max_tombstones: int = MAX_TOMBSTONES) -> None:
         self._records: dict[str, ViewedRecord] = {}
@@ -118,27 +123,27 @@
 
     @property
     def revision(self) -> int:
-        """The highest revision of a change applied."""
+        """The highest revision of all applied changes."""
         return self._revision
 
     @property
     def forgotten_revision(self) -> int:
-        """Deletions up to this revision may have been dropped from the bounded tombstones."""
+        """The revision up to which deletions may have been dropped from the bounded tombstones."""
         return self._forgotten_revision
 
     @property
     def digests(self) -> BucketDigests:
-        """Digests over the live records."""
+        """Digests over the records that are not deleted."""
         return self._digests
 
     @property
     def is_loaded(self) -> bool:
-        """Whether the view came whole from the store or from a peer at least once."""
+        """Whether a complete view was loaded from the store or a peer at least once."""
         return self._loaded.is_set()
 
     @property
     def source(self) -> str:
-        """Where the view came from first: ``store`` or ``peer``; empty before."""
+        """The source of the first complete view, ``store`` or ``peer``; empty until loaded."""
         return self._source
 
     async def wait_loaded(self) -> None:
@@ -146,32 +151,35 @@
         await self._loaded.wait()
 
     def mark_loaded(self, source: str) -> None:
-        """Says that the view is whole now."""
+        """Marks the view as complete.
+
+        :param source: ``store`` or ``peer``; only the first source is recorded.
+        """
         if not self._loaded.is_set():
             self._source = source
             self._loaded.set()
 
     def subscribe(self, callback: Callable[[Configuration], None]) -> None:
-        """Calls back with the configuration now and after each change."""
+        """Calls ``callback`` with the current configuration, and again after each change."""
         self._subscribers.append(callback)
         callback(self._configuration)
 
     def find(self, key: str) -> ViewedRecord | None:
-        """Finds a record by its key in the store."""
+        """Returns the record with a key of the store; ``None`` if there is none."""
         return self._records.get(key)
 
     def list_kind(self, kind: RecordKind) -> list[ViewedRecord]:
-        """Lists the records of a kind by name."""
+        """Returns the records of a kind, sorted by name."""
         keys = sorted(key for key in self._records if split_key(key)[0] == kind)
         return [self._records[key] for key in keys]
 
     def take_snapshot(self) -> ViewSnapshot:
-        """Copies what the view holds."""
+        """Returns a copy of the view's entries and tombstones."""
         entries = {key: record.entry for key, record in self._records.items()}
         return ViewSnapshot(self._revision, entries, dict(self._tombstones))
 
     def apply(self, updates: Iterable[Entry], deletions: Iterable[Entry]) -> bool:
-        """Applies changes that the store accepted, in any order; tells whether any was new."""
+        """Applies changes that the store accepted, in any order; returns whether any was new."""
         changed = False
         for entry in updates:
             changed |= self._apply_update(entry)
@@ -182,16 +190,23 @@
         return changed
 
     def apply_from_peer(self, updates: Iterable[Entry], deletions: Iterable[Entry]) -> bool:
-        """Applies what a peer holds, which may be older than a deletion forgotten here."""
-        credible = [
+        """Applies a peer's records, and returns whether any was new.
+
+        Unknown records up to ``forgotten_revision`` are skipped: they may have been deleted since,
+        by a deletion whose tombstone was dropped here.
+        """
+        acceptable = [
             entry
             for entry in updates
             if entry.key in self._records or entry.revision > self._forgotten_revision
         ]
-        return self.apply(credible, deletions)
+        return self.apply(acceptable, deletions)
 
     def apply_listing(self, listing: Listing) -> bool:
-        """Applies all records of the store: those not listed are deleted."""
+        """Applies a listing of all records in the store, and returns whether anything changed.
+
+        Records that are not listed are deleted, unless they are newer than the listing.
+        """
         listed = {entry.key for entry in listing.entries}
         deletions = [
             Entry(key, b"", listing.revision)
@@ -203,32 +218,36 @@
         return changed
 
     def raise_forgotten_revision(self, revision: int) -> None:
-        """Takes over from a peer up to where deletions may be forgotten."""
+        """Raises ``forgotten_revision`` to that of a peer whose records were loaded."""
         self._forgotten_revision = max(self._forgotten_revision, revision)
 
     def list_problems(self) -> list[RecordProblem]:
-        """Lists records not in force as written and references to missing records."""
+        """Returns records whose latest revision is not in force, and dangling references."""
         problems = []
         for key in sorted(self._records):
             record = self._records[key]
             if record.problem is not None:
                 problem = record.problem
-                problems.append(self._describe(key, record, problem.code, problem.message))
-        for subject, missing in list_dangling(self._configuration).items():
-            record = self._records[self._key_of(subject)]
+                problems.append(self._make_problem(key, record, problem.code, problem.message))
+        for subject, missing in list_dangling_references(self._configuration).items():
+            record = self._records[self._make_key(subject)]
             message = "; ".join(f"{problem.field}: {problem.reason}" for problem in missing)
-            problems.append(self._describe(record.entry.key, record, "reference_dangling", message))
+            problems.append(
+                self._make_problem(record.entry.key, record, "reference_dangling", message)
+            )
         return problems
 
     @staticmethod
-    def _key_of(subject: str) -> str:
+    def _make_key(subject: str) -> str:
         kind, _, name = subject.partition("/")
         return make_key(kind, name)
 
     @staticmethod
-    def _describe(key: str, record: ViewedRecord, code: str, message: str) -> RecordProblem:
+    def _make_problem(key: str, record: ViewedRecord, code: str, message: str) -> RecordProblem:
         kind, name = split_key(key)
-        return RecordProblem(kind, name, record.entry.revision, record.form_revision, code, message)
+        return RecordProblem(
+            kind, name, record.entry.revision, record.revision_in_force, code, message
+        )
 
     def _known_revision(self, key: str) -> int:
         record = self._records.get(key)
@@ -261,17 +280,17 @@
         return True
 
     def _rebuild(self) -> None:
-        forms: dict[RecordKind, dict[str, Any]] = {kind: {} for kind in RecordKind}
+        records_in_force: dict[RecordKind, dict[str, Any]] = {kind: {} for kind in RecordKind}
         for key, record in self._records.items():
-            if record.form is not None:
+            if record.record_in_force is not None:
                 kind, name = split_key(key)
-                forms[RecordKind(kind)][name] = record.form
+                records_in_force[RecordKind(kind)][name] = record.record_in_force
         self._configuration = Configuration(
             revision=self._revision,
-            services=forms[RecordKind.SERVICES],
-            pools=forms[RecordKind.POOLS],
-            endpoints=forms[RecordKind.ENDPOINTS],
-            teams=forms[RecordKind.TEAMS],
+            services=records_in_force[RecordKind.SERVICES],
+            pools=records_in_force[RecordKind.POOLS],
+            endpoints=records_in_force[RecordKind.ENDPOINTS],
+            teams=records_in_force[RecordKind.TEAMS],
         )
         for callback in self._subscribers:
             callback(self._configuration)
--- a/berylproxy/records/watcher.py
+++ b/berylproxy/records/watcher.py
@@ -8,7 +8,7 @@
 from logbook import Logger
 
 from berylproxy.records.backoff import Backoff
-from berylproxy.records.envelope import KEY_PREFIX, MARK_KEY
+from berylproxy.records.envelope import CREATION_MARKER_KEY, KEY_PREFIX
 from berylproxy.records.view import RecordView, ViewSnapshot
 from berylproxy.store.port import (
     ChangeBatch,
@@ -22,23 +22,23 @@
 
 
 class StoreState(StrEnum):
-    """How the store looks to the watcher."""
+    """State of the store as observed by the watcher."""
 
     STARTING = "starting"
     FOLLOWING = "following"
     UNAVAILABLE = "store_unavailable"
-    REVERTED = "store_reverted"  # an alarm: the store lost writes that are in force here
+    REVERTED = "store_reverted"  # raises an alarm: the store lost writes that are in force here
 
 
 @dataclass(frozen=True, slots=True)
-class WatchPace:
-    """Bounds on the calls to the store.
+class WatchTimings:
+    """Timeouts and delays of the calls to the store.
 
     :param wait_s: how long one watch waits for changes.
-    :param min_interval_s: pause after each watch, so that changes in quick succession share one.
-    :param first_delay_s: mean delay before the first repetition of a failed call.
-    :param max_delay_s: mean delay that the repetitions reach.
-    :param call_timeout_s: time after which a call is given up on, beyond ``wait_s`` for a watch.
+    :param min_interval_s: pause after each watch, so that one watch returns several quick changes.
+    :param first_delay_s: mean delay before the first retry of a failed call.
+    :param max_delay_s: upper bound of the mean delay between retries.
+    :param call_timeout_s: timeout of a call; a watch has this time in addition to ``wait_s``.
     """
 
     wait_s: float = 20.0
@@ -48,20 +48,28 @@
     call_timeout_s: float = 10.0
 
 
-def find_reversal(listing: Listing, known: ViewSnapshot) -> str:
-    """Finds a sign that the store lost a write that was known before the listing was asked for.
+def find_rollback_evidence(listing: Listing, known: ViewSnapshot) -> str:
+    """Finds evidence that the store lost a write that was known before the listing was requested.
 
-    Returns what was found, or an empty string.
+    Returns a description of the evidence, or an empty string.
+
+    :param known: the view's contents from before the request.
     """
     if listing.revision < known.revision:
         return f"the store is at revision {listing.revision}, {known.revision} is in force"
-    if MARK_KEY in known.entries and all(entry.key != MARK_KEY for entry in listing.entries):
-        return "the mark of the last new record is missing"
+    if CREATION_MARKER_KEY in known.entries and all(
+        entry.key != CREATION_MARKER_KEY for entry in listing.entries
+    ):
+        return "the marker of the last created record is missing"
     for entry in listing.entries:
-        held = known.entries.get(entry.key)
-        if held and entry.revision < held.revision:
-            return f"{entry.key}: stored {entry.revision}, in force {held.revision}"
-        if held and entry.revision == held.revision and entry.value != held.value:
+        known_entry = known.entries.get(entry.key)
+        if known_entry and entry.revision < known_entry.revision:
+            return f"{entry.key}: stored {entry.revision}, in force {known_entry.revision}"
+        if (
+            known_entry
+            and entry.revision == known_entry.revision
+            and entry.value != known_entry.value
+        ):
             return f"{entry.key}: another value at revision {entry.revision}"
         if entry.revision < known.tombstones.get(entry.key, 0):
             return f"{entry.key}: deleted at {known.tombstones[entry.key]}, yet stored"
@@ -69,65 +77,65 @@
 
 
 def is_empty(batch: ChangeBatch) -> bool:
-    """Tells whether a watch ended without changes."""
+    """Returns whether a watch ended without changes."""
     return not batch.updates and not batch.deletions
 
 
 class RecordWatcher:
-    """Keeps the view at what the store holds, and keeps out a store that went back in time.
+    """Applies the store's changes to the view, and rejects a store that was rolled back.
 
     :param random: source of the jitter.
     """
 
     def __init__(
-        self, store: Store, view: RecordView, random: Random, *, pace: WatchPace | None = None
+        self, store: Store, view: RecordView, random: Random, *, timings: WatchTimings | None = None
     ) -> None:
         self._store = store
         self._view = view
-        self._pace = pace or WatchPace()
-        self._backoff = Backoff(random, self._pace.first_delay_s, self._pace.max_delay_s)
+        self._timings = timings or WatchTimings()
+        self._backoff = Backoff(random, self._timings.first_delay_s, self._timings.max_delay_s)
         self._state = StoreState.STARTING
         self._state_changed = anyio.Event()
         self._problem = ""
 
     @property
     def state(self) -> StoreState:
-        """How the store looks now."""
+        """The current state of the store."""
         return self._state
 
     @property
     def problem(self) -> str:
-        """What is wrong with the store; empty if nothing is."""
+        """Description of the store's current problem; empty if there is none."""
         return self._problem
 
     @property
     def accepts_writes(self) -> bool:
-        """Whether operators' changes may go to the store."""
+        """Whether operators' changes may be written to the store."""
         return self._state is not StoreState.REVERTED
 
     async def wait_for_state(self, state: StoreState) -> None:
-        """Waits until the store looks like ``state``."""
+        """Waits until the store is in the given state."""
         while self._state is not state:
             await self._state_changed.wait()
 
     async def run(self) -> None:
-        """Lists and watches until cancelled."""
+        """Lists and watches the records until cancelled."""
         while True:
             try:
                 await self._follow()
             except StoreUnavailableError as error:
                 self._set_unavailable(error.message)
             except StoreError as error:
-                # A watch from a compacted revision ends here: only a new list can help.
+                # A watch that starts at a compacted revision fails, so the records are listed anew.
                 logger.info("listing the records again: {}", error.message)
             await anyio.sleep(self._backoff.choose_delay_s())
 
     async def _follow(self) -> None:
         known = self._view.take_snapshot()
         listing = await self._list()
-        reversal = find_reversal(listing, known)
-        if reversal:
-            self._set_state(StoreState.REVERTED, reversal)
+        rollback_evidence = find_rollback_evidence(listing, known)
+        if rollback_evidence:
+            self._set_state(StoreState.REVERTED, rollback_evidence)
             return
         self._view.apply_listing(listing)
         self._set_state(StoreState.FOLLOWING, "")
@@ -136,24 +144,24 @@
             known_revision = self._view.revision
             batch = await self._wait_for_changes(revision)
             if batch.revision < revision or (is_empty(batch) and revision < known_revision):
-                return  # possibly a store that went back: a list tells
+                return  # the store may have been rolled back; the next listing shows whether it was
             self._backoff.reset()
             self._view.apply(batch.updates, batch.deletions)
             revision = batch.revision
-            await anyio.sleep(self._pace.min_interval_s)
+            await anyio.sleep(self._timings.min_interval_s)
 
     async def _list(self) -> Listing:
-        with anyio.move_on_after(self._pace.call_timeout_s):
+        with anyio.move_on_after(self._timings.call_timeout_s):
             return await self._store.list_prefix(KEY_PREFIX)
-        raise StoreUnavailableError("the store did not answer a list")
+        raise StoreUnavailableError("the store did not answer a list request")
 
     async def _wait_for_changes(self, revision: int) -> ChangeBatch:
-        with anyio.move_on_after(self._pace.wait_s + self._pace.call_timeout_s):
-            return await self._store.wait_for_changes(KEY_PREFIX, revision, self._pace.wait_s)
-        raise StoreUnavailableError("the store did not answer a watch")
+        with anyio.move_on_after(self._timings.wait_s + self._timings.call_timeout_s):
+            return await self._store.wait_for_changes(KEY_PREFIX, revision, self._timings.wait_s)
+        raise StoreUnavailableError("the store did not answer a watch request")
 
     def _set_unavailable(self, problem: str) -> None:
-        # A reverted store that goes silent is still not to be written to when it comes back.
+        # A reverted store must not accept writes when it is available again after an outage.
         if self._state is not StoreState.REVERTED:
             self._set_state(StoreState.UNAVAILABLE, problem)
 
@@ -162,7 +170,7 @@
         if state is self._state:
             return
         log = logger.error if state is StoreState.REVERTED else logger.info
-        log("the store's state is {}: {}", state, problem or "no problem")
+        log("store state changed to {}: {}", state, problem or "no problem")
         self._state = state
         self._state_changed.set()
         self._state_changed = anyio.Event()
--- a/berylproxy/store/__init__.py
+++ b/berylproxy/store/__init__.py
@@ -1,1 +1,1 @@
-"""What the platform gives: its key-value service and its list of VMs."""
+"""Clients of the platform's key-value service and of its list of VMs."""
--- a/berylproxy/store/etcd.py
+++ b/berylproxy/store/etcd.py
@@ -1,4 +1,4 @@
-"""The key-value service over etcd v3's JSON gateway."""
+"""Client of the key-value service over etcd v3's JSON gateway."""
 
 from collections.abc import AsyncIterator, Sequence
 from contextlib import asynccontextmanager
@@ -63,8 +63,8 @@
 HTTP_SERVER_ERROR = 500
 HTTP_UNAVAILABLE = 503
 GRPC_NOT_FOUND = 5
-# etcd answers 503 with these messages although the write may still be applied.
-UNDECIDED_MESSAGES = ("timed out", "leader changed")
+# etcd returns status 503 with these messages even if the write may still be applied.
+AMBIGUOUS_MESSAGES = ("timed out", "leader changed")
 
 ResponseT = TypeVar("ResponseT", bound=BaseModel)
 
@@ -73,14 +73,15 @@
     """Implements :class:`berylproxy.store.port.Store`.
 
     :param base_urls: one or several base URLs of the same service.
-    :param timeout_s: bound of each call over all base URLs.
+    :param timeout_s: timeout of each call, including the attempts at all base URLs.
+    :ivar preferred_index: index of the base URL that is called first.
     """
 
     def __init__(self, base_urls: Sequence[str], timeout_s: float) -> None:
         self.base_urls = [url.rstrip("/") for url in base_urls]
         self.timeout_s = timeout_s
-        self.preferred = 0
-        # No environment: a proxy setting must not come between the daemon and the service.
+        self.preferred_index = 0
+        # Ignores proxy settings in the environment: calls must go directly to the service.
         self.client = AsyncClient(
             trust_env=False, limits=Limits(max_connections=MAX_CONNECTIONS), timeout=timeout_s
         )
@@ -127,7 +128,10 @@
         return await self.run_txn(key, expected_revision, RequestOp(request_delete_range=request))
 
     async def run_txn(self, key: str, expected_revision: int, operation: RequestOp) -> int:
-        """Runs one operation on condition of the key's revision; returns the store's revision."""
+        """Runs one operation if the key has the expected revision; returns the store's revision.
+
+        :raises StoreConflictError: if the key has another revision.
+        """
         request = TxnRequest(
             compare=[build_compare(key, expected_revision)],
             success=[operation],
@@ -142,49 +146,49 @@
     ) -> ChangeBatch:
         """Waits for changes below ``prefix`` later than a revision, for at most ``wait_s``.
 
-        :raises StoreWatchError: if the prefix must be listed anew.
+        :raises StoreWatchError: if the prefix must be listed again.
         """
         start, end = prefix_range(prefix)
         create = WatchCreateRequest(key=start, range_end=end, start_revision=after_revision + 1)
         body = WatchRequest(create_request=create).model_dump_json(exclude_none=True)
         try:
-            # Only the start is bounded by the call's timeout: changes may be long in coming.
+            # The call's timeout bounds only the start of the watch; changes may take up to wait_s.
             with fail_after(self.timeout_s) as scope:
                 async with self.open_watch(body) as response:
                     lines = response.aiter_lines()
-                    await read_created(lines, after_revision)
+                    await wait_for_watch_created(lines, after_revision)
                     scope.deadline = current_time() + wait_s + self.timeout_s
                     with move_on_after(wait_s):
                         return convert_batch(await read_events(lines))
         except (HTTPError, TimeoutError) as error:
-            self.prefer_next()
+            self.prefer_next_url()
             raise StoreUnavailableError(f"watch of {prefix}: {error!r}") from error
         return ChangeBatch(after_revision, (), ())
 
     @asynccontextmanager
     async def open_watch(self, body: str) -> AsyncIterator[Response]:
-        """Opens a watch's stream."""
-        url = self.base_urls[self.preferred] + "/v3/watch"
+        """Opens the response stream of a watch."""
+        url = self.base_urls[self.preferred_index] + "/v3/watch"
         timeout = Timeout(self.timeout_s, read=None)
         async with self.client.stream("POST", url, content=body, timeout=timeout) as response:
             if response.status_code != HTTP_OK:
                 await response.aread()
-                raise convert_status(response, is_write=False)
+                raise convert_error_response(response, is_write=False)
             yield response
 
     async def grant_lease(self, ttl_s: int) -> int:
-        """Makes a lease and returns its identifier."""
+        """Creates a lease and returns its identifier."""
         response = await self.write("/v3/lease/grant", LeaseGrantRequest(TTL=ttl_s), LeaseResponse)
         return response.ID
 
     async def renew_lease(self, lease_id: int) -> bool:
-        """Renews a lease; ``False`` if it has lapsed."""
+        """Renews a lease; returns ``False`` if it has expired."""
         request = LeaseRequest(ID=lease_id)
         response = await self.write("/v3/lease/keepalive", request, LeaseKeepAliveResponse)
         return response.result.TTL > 0
 
     async def revoke_lease(self, lease_id: int) -> None:
-        """Ends a lease and deletes its keys; a lapsed lease is no error."""
+        """Ends a lease and deletes its keys; an expired lease is not an error."""
         try:
             await self.write("/v3/lease/revoke", LeaseRequest(ID=lease_id), LeaseResponse)
         except StoreLeaseLapsedError:
@@ -193,26 +197,26 @@
     async def read(
         self, path: str, request: BaseModel, response_type: type[ResponseT]
     ) -> ResponseT:
-        """Calls one base URL after the other until one answers."""
+        """Sends a read request, trying the base URLs in turn until one answers."""
         return await self.call(path, request, response_type, is_write=False)
 
     async def write(
         self, path: str, request: BaseModel, response_type: type[ResponseT]
     ) -> ResponseT:
-        """Calls the next base URL only if the write was certainly not delivered to the last."""
+        """Sends a write; tries the next base URL only if this one certainly did not receive it."""
         return await self.call(path, request, response_type, is_write=True)
 
     async def call(
         self, path: str, request: BaseModel, response_type: type[ResponseT], *, is_write: bool
     ) -> ResponseT:
-        """Posts a request within the timeout and checks the answer."""
+        """Posts a request within the timeout and parses the response."""
         body = request.model_dump_json(exclude_none=True)
         deadline = current_time() + self.timeout_s
         try:
             with fail_after(self.timeout_s):
                 response = await self.post_with_failover(path, body, deadline, is_write)
         except TimeoutError as error:
-            self.prefer_next()
+            self.prefer_next_url()
             raise lost_answer_error(f"{path}: no answer in time", is_write) from error
         try:
             return response_type.model_validate_json(response.content)
@@ -222,23 +226,27 @@
     async def post_with_failover(
         self, path: str, body: str, deadline: float, is_write: bool
     ) -> Response:
-        """Tries the base URLs in turn, beginning with the one that answered last."""
+        """Tries each base URL once, starting with the preferred one."""
         for attempts_left in range(len(self.base_urls), 1, -1):
             try:
                 return await self.post(path, body, deadline, attempts_left, is_write)
             except StoreUnavailableError:
-                self.prefer_next()
+                self.prefer_next_url()
         return await self.post(path, body, deadline, 1, is_write)
 
     async def post(
         self, path: str, body: str, deadline: float, attempts_left: int, is_write: bool
     ) -> Response:
-        """Posts to the preferred base URL and converts what goes wrong."""
-        url = self.base_urls[self.preferred] + path
+        """Posts to the preferred base URL and converts errors to :class:`StoreError`.
+
+        :param deadline: time by which the whole call must end.
+        :param attempts_left: number of attempts, with this one, that share the remaining time.
+        """
+        url = self.base_urls[self.preferred_index] + path
         remaining_s = max(deadline - current_time(), 0.0)
-        share_s = remaining_s / attempts_left
-        # A sent write has nowhere else to go, so it may use all the time that is left.
-        timeout = Timeout(share_s, read=remaining_s if is_write else share_s)
+        attempt_timeout_s = remaining_s / attempts_left
+        # A write that was sent is not sent to another URL, so it may use all remaining time.
+        timeout = Timeout(attempt_timeout_s, read=remaining_s if is_write else attempt_timeout_s)
         try:
             response = await self.client.post(url, content=body, timeout=timeout)
         except NOT_DELIVERED_ERRORS as error:
@@ -246,12 +254,12 @@
         except HTTPError as error:
             raise lost_answer_error(f"{path}: {error!r}", is_write) from error
         if response.status_code != HTTP_OK:
-            raise convert_status(response, is_write=is_write)
+            raise convert_error_response(response, is_write=is_write)
         return response
 
-    def prefer_next(self) -> None:
-        """Makes the next base URL the first to be called."""
-        self.preferred = (self.preferred + 1) % len(self.base_urls)
+    def prefer_next_url(self) -> None:
+        """Makes the next base URL the preferred one."""
+        self.preferred_index = (self.preferred_index + 1) % len(self.base_urls)
 
 
 def prefix_range(prefix: str) -> tuple[bytes, bytes]:
@@ -259,27 +267,27 @@
     start = prefix.encode()
     if not start:
         return b"\0", b"\0"
-    # UTF-8 has no byte 255, so the last byte can always be raised.
+    # UTF-8 has no byte 255, so the last byte can always be incremented.
     return start, start[:-1] + bytes([start[-1] + 1])
 
 
 def build_compare(key: str, expected_revision: int) -> Compare:
-    """Builds the condition that a key has a revision, or does not exist."""
+    """Builds the condition that a key has the expected revision, or does not exist."""
     if expected_revision == ABSENT_REVISION:
         return Compare(key=key.encode(), target="CREATE", create_revision=0)
     return Compare(key=key.encode(), target="MOD", mod_revision=expected_revision)
 
 
 def convert_entry(kv: KeyValue) -> Entry:
-    """Converts a stored key."""
+    """Converts a key-value pair of etcd to an entry."""
     return Entry(kv.key.decode(), kv.value, kv.mod_revision)
 
 
 def convert_batch(result: WatchResult) -> ChangeBatch:
-    """Keeps the last change of each key.
+    """Converts a watch message to a batch with the last change of each key.
 
-    The batch's revision is that of its last change: the header's may be ahead of the changes that
-    the message carries.
+    The batch has the revision of its last change, because the revision in the header may be higher
+    than those of the changes in the message.
     """
     last = {event.kv.key: event for event in result.events}
     updates = tuple(convert_entry(event.kv) for event in last.values() if event.type == "PUT")
@@ -287,17 +295,20 @@
     return ChangeBatch(result.events[-1].kv.mod_revision, updates, deletions)
 
 
-async def read_created(lines: AsyncIterator[str], after_revision: int) -> None:
-    """Waits until the service confirms the watch."""
+async def wait_for_watch_created(lines: AsyncIterator[str], after_revision: int) -> None:
+    """Waits until the service confirms the watch.
+
+    :raises StoreRevisionBehindError: if the service's revision is below ``after_revision``.
+    """
     result = await read_result(lines)
     if result.header.revision < after_revision:
         raise StoreRevisionBehindError(
-            f"store is at revision {result.header.revision}, below {after_revision}"
+            f"the store is at revision {result.header.revision}, below {after_revision}"
         )
 
 
 async def read_events(lines: AsyncIterator[str]) -> WatchResult:
-    """Reads up to the first message with changes."""
+    """Reads messages of a watch up to the first one with changes."""
     while True:
         result = await read_result(lines)
         if result.events:
@@ -305,28 +316,32 @@
 
 
 async def read_result(lines: AsyncIterator[str]) -> WatchResult:
-    """Reads one message of a watch."""
+    """Reads one message of a watch.
+
+    :raises StoreUnavailableError: if the stream ended or the message is malformed.
+    :raises StoreWatchError: if the service cancelled the watch.
+    """
     line = await anext(lines, None)
     if line is None:
-        raise StoreUnavailableError("watch ended")
+        raise StoreUnavailableError("the watch stream ended")
     try:
         result = WatchResponse.model_validate_json(line).result
     except ValidationError as error:
-        raise StoreUnavailableError("message of watch is malformed") from error
+        raise StoreUnavailableError("a watch message is malformed") from error
     if result.compact_revision:
         raise StoreCompactedError(f"changes before {result.compact_revision} are compacted")
     if result.canceled:
-        raise StoreWatchError(f"watch was cancelled: {result.cancel_reason}")
+        raise StoreWatchError(f"the watch was cancelled: {result.cancel_reason}")
     return result
 
 
 def lost_answer_error(message: str, is_write: bool) -> StoreError:
-    """Builds the error for a call that was sent and not answered."""
+    """Builds the error for a call that was sent but got no valid answer."""
     return StoreOutcomeUnknownError(message) if is_write else StoreUnavailableError(message)
 
 
-def convert_status(response: Response, *, is_write: bool) -> StoreError:
-    """Builds the error for an answer that is not 200."""
+def convert_error_response(response: Response, *, is_write: bool) -> StoreError:
+    """Builds the error for a response with a status other than 200."""
     try:
         error = ErrorResponse.model_validate_json(response.content)
     except ValidationError:
@@ -335,8 +350,8 @@
     status = response.status_code
     message = f"{response.request.url.path}: {status} {reason}".rstrip()
     if status in (HTTP_UNAVAILABLE, HTTP_TOO_MANY_REQUESTS):
-        undecided = is_write and any(text in reason for text in UNDECIDED_MESSAGES)
-        return lost_answer_error(message, undecided)
+        is_ambiguous = is_write and any(text in reason for text in AMBIGUOUS_MESSAGES)
+        return lost_answer_error(message, is_ambiguous)
     if status >= HTTP_SERVER_ERROR:
         return lost_answer_error(message, is_write)
     if error.code == GRPC_NOT_FOUND:
--- a/berylproxy/store/etcd_messages.py
+++ b/berylproxy/store/etcd_messages.py
@@ -1,4 +1,4 @@
-"""The messages of etcd v3's JSON gateway, as far as the store uses them."""
+"""Messages of etcd v3's JSON gateway, with the fields that the store uses."""
 
 from base64 import b64decode, b64encode
 from typing import Annotated, Literal
@@ -7,12 +7,12 @@
 
 
 def decode_base64(value: object) -> object:
-    """Decodes text; passes bytes on as they are."""
+    """Decodes base64 text; returns other values unchanged."""
     return b64decode(value, validate=True) if isinstance(value, str) else value
 
 
 def encode_base64(value: bytes) -> str:
-    """Encodes with the standard alphabet, the only one that all gateways read."""
+    """Encodes with the standard base64 alphabet, the only one that all gateways accept."""
     return b64encode(value).decode()
 
 
@@ -21,13 +21,13 @@
 
 
 class Header(BaseModel):
-    """Header of every answer; the gateway leaves out fields that are zero."""
+    """Header of every response; the gateway omits fields that are zero."""
 
     revision: Int64 = 0
 
 
 class KeyValue(BaseModel):
-    """A stored key."""
+    """A key with its value and the revision of its last write."""
 
     key: Base64 = b""
     value: Base64 = b""
@@ -35,14 +35,14 @@
 
 
 class RangeRequest(BaseModel):
-    """Reads one key, or all from ``key`` up to ``range_end`` exclusively."""
+    """Reads one key, or all keys from ``key`` up to, but without, ``range_end``."""
 
     key: Base64
     range_end: Base64 = b""
 
 
 class RangeResponse(BaseModel):
-    """Answer to :class:`RangeRequest`."""
+    """Response to :class:`RangeRequest`."""
 
     header: Header
     kvs: list[KeyValue] = []
@@ -81,7 +81,7 @@
 
 
 class TxnRequest(BaseModel):
-    """Runs ``success`` if all conditions hold, else ``failure``."""
+    """Runs the operations in ``success`` if all conditions hold, else those in ``failure``."""
 
     compare: list[Compare]
     success: list[RequestOp]
@@ -89,14 +89,14 @@
 
 
 class TxnResponse(BaseModel):
-    """Answer to :class:`TxnRequest`."""
+    """Response to :class:`TxnRequest`."""
 
     header: Header
     succeeded: bool = False
 
 
 class LeaseGrantRequest(BaseModel):
-    """Makes a lease; identifier 0 lets the service choose."""
+    """Creates a lease; with the identifier 0 the service chooses one."""
 
     TTL: Int64
     ID: Int64 = 0
@@ -116,13 +116,13 @@
 
 
 class LeaseKeepAliveResponse(BaseModel):
-    """One line of the stream of renewals."""
+    """One line of the response stream of a lease renewal."""
 
     result: LeaseResponse
 
 
 class WatchCreateRequest(BaseModel):
-    """Asks for the changes from ``start_revision`` on."""
+    """Requests the changes from ``start_revision`` on."""
 
     key: Base64
     range_end: Base64
@@ -136,7 +136,7 @@
 
 
 class Event(BaseModel):
-    """One change."""
+    """One change of a key."""
 
     type: Literal["PUT", "DELETE"] = "PUT"
     kv: KeyValue
@@ -154,13 +154,13 @@
 
 
 class WatchResponse(BaseModel):
-    """One line of a watch's stream."""
+    """One line of the response stream of a watch."""
 
     result: WatchResult
 
 
 class ErrorResponse(BaseModel):
-    """Body of an answer that is not 200."""
+    """Body of a response with a status other than 200."""
 
     message: str = ""
     error: str = ""
--- a/berylproxy/store/machines.py
+++ b/berylproxy/store/machines.py
@@ -1,4 +1,4 @@
-"""The platform's lagging list of VMs over HTTP."""
+"""Client of the platform's list of VMs over HTTP; the list lags behind the actual VMs."""
 
 from typing import Literal
 
@@ -11,7 +11,7 @@
 
 
 class VirtualMachineRow(BaseModel):
-    """One VM as the platform writes it."""
+    """One VM in the platform's response."""
 
     name: str
     host: str
@@ -20,7 +20,7 @@
 
 
 class VirtualMachinePage(BaseModel):
-    """The platform's answer."""
+    """The platform's response."""
 
     vms: list[VirtualMachineRow]
 
@@ -29,7 +29,7 @@
     """Implements :class:`berylproxy.store.port.VirtualMachineList`.
 
     :param url: base URL of the platform.
-    :param timeout_s: bound of each call.
+    :param timeout_s: timeout of each call.
     """
 
     def __init__(self, url: str, timeout_s: float) -> None:
@@ -41,7 +41,10 @@
         await self.client.aclose()
 
     async def fetch(self) -> tuple[VirtualMachine, ...]:
-        """Reads the list; raises :class:`StoreUnavailableError` while the platform is away."""
+        """Reads the list.
+
+        :raises StoreUnavailableError: if the platform is unavailable or its answer is malformed.
+        """
         try:
             response = await self.client.get(self.url)
             response.raise_for_status()
@@ -52,5 +55,5 @@
 
 
 def convert_row(row: VirtualMachineRow) -> VirtualMachine:
-    """Converts a checked row."""
+    """Converts a validated row."""
     return VirtualMachine(row.name, row.host, row.failure_domain, row.state == "leaving")
--- a/berylproxy/store/port.py
+++ b/berylproxy/store/port.py
@@ -1,42 +1,42 @@
-"""The key-value service as the daemon sees it."""
+"""Interfaces of the key-value service and of the list of VMs."""
 
 from dataclasses import dataclass
 from typing import Protocol
 
 from berylproxy.errors import BerylproxyError
 
-ABSENT_REVISION = 0  # expected revision of a key that must not exist yet
+ABSENT_REVISION = 0  # expected revision of a key that must not exist
 
 
 class StoreError(BerylproxyError):
-    """Base of the key-value service's errors."""
+    """Base class of the key-value service's errors."""
 
     code = "store_error"
 
 
 class StoreUnavailableError(StoreError):
-    """The call did not reach the service, or it refused it: nothing was written."""
+    """The call did not reach the service, or the service refused it; nothing was written."""
 
     code = "store_unavailable"
 
 
 class StoreOutcomeUnknownError(StoreError):
-    """The answer was lost: the write may have taken effect."""
+    """The answer was lost; the write may have taken effect."""
 
     code = "store_outcome_unknown"
 
 
 class StoreConflictError(StoreError):
-    """The key's revision is not the expected one: nothing was written."""
+    """The key's revision is not the expected one; nothing was written."""
 
     code = "store_conflict"
 
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """A key's value.
+    """A key with its value.
 
-    :param revision: the store-wide revision of the write that made it.
+    :param revision: the store-wide revision of the write.
     """
 
     key: str
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Listing:
-    """The entries below a prefix at one revision of the whole store."""
+    """The entries below a prefix at one store-wide revision."""
 
     revision: int
     entries: tuple[Entry, ...]
@@ -54,10 +54,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeBatch:
-    """What changed below a prefix.
+    """Changes below a prefix.
 
-    :param revision: the store's revision up to which the batch tells all changes.
-    :param updates: new values, the last of each key.
+    :param revision: the store's revision up to which the batch contains all changes.
+    :param updates: the last new value of each changed key.
     :param deletions: deleted keys, with the revision of the deletion in ``revision`` and no value.
     """
 
@@ -69,8 +69,8 @@
 class Store(Protocol):
     """A key-value service with compare-and-swap, leases and watches.
 
-    Every method raises :class:`StoreUnavailableError` when nothing can have been written, and the
-    writing ones :class:`StoreOutcomeUnknownError` when that is not known.
+    Every method raises :class:`StoreUnavailableError` if a call fails and certainly wrote nothing.
+    Methods that write raise :class:`StoreOutcomeUnknownError` if the write may have taken effect.
     """
 
     async def get(self, key: str) -> Entry | None:
@@ -85,7 +85,7 @@
         """Writes ``value`` if the key's revision is the expected one; returns the new revision.
 
         :param expected_revision: :data:`ABSENT_REVISION` if the key must not exist.
-        :param lease_id: lease with which the key goes away; 0 for none.
+        :param lease_id: lease with whose end the key is deleted; 0 for none.
         :raises StoreConflictError: if the key has another revision.
         """
 
@@ -100,14 +100,14 @@
     ) -> ChangeBatch:
         """Waits for changes below ``prefix`` later than a revision, for at most ``wait_s``.
 
-        Returns an empty batch when the time is over.
+        Returns an empty batch if there is no change within that time.
         """
 
     async def grant_lease(self, ttl_s: int) -> int:
-        """Makes a lease and returns its identifier."""
+        """Creates a lease and returns its identifier."""
 
     async def renew_lease(self, lease_id: int) -> bool:
-        """Renews a lease; ``False`` if it has lapsed."""
+        """Renews a lease; returns ``False`` if it has expired."""
 
     async def revoke_lease(self, lease_id: int) -> None:
         """Ends a lease and deletes its keys."""
@@ -115,10 +115,10 @@
 
 @dataclass(frozen=True, slots=True)
 class VirtualMachine:
-    """One row of the platform's lagging list.
+    """One row of the platform's list of VMs.
 
     :param host: the VM's address.
-    :param leaving: whether the platform is about to take the VM away.
+    :param leaving: whether the platform is about to remove the VM.
     """
 
     name: str
@@ -128,7 +128,10 @@
 
 
 class VirtualMachineList(Protocol):
-    """The platform's lagging list of VMs."""
+    """The platform's list of VMs, which lags behind the actual VMs."""
 
     async def fetch(self) -> tuple[VirtualMachine, ...]:
-        """Reads the list; raises :class:`StoreUnavailableError` while the platform is away."""
+        """Reads the list.
+
+        :raises StoreUnavailableError: if the platform is unavailable.
+        """
--- a/tests/steps/records_api_steps.py
+++ b/tests/steps/records_api_steps.py
@@ -41,7 +41,7 @@
 
 @then('operators\' calls at records daemon "{name}" answer:')
 def step_calls(context, name):
-    daemon = context.world.daemons[name]
+    daemon = context.cluster.daemons[name]
     routes = make_record_routes(daemon.view, daemon.editor, authorize)
     transport = httpx.ASGITransport(app=Starlette(routes=routes))
 
@@ -58,7 +58,7 @@
                 assert row["says"] in response.text, (row, response.text)
                 check_body(response)
 
-    context.world.run(call_all)
+    context.cluster.run(call_all)
 
 
 def check_body(response):
--- a/tests/steps/records_editor_steps.py
+++ b/tests/steps/records_editor_steps.py
@@ -13,49 +13,49 @@
 
 @given("the record store loses the answer to the next write")
 def step_lose_answer(context):
-    context.world.store.lost_answers = 1
+    context.cluster.store.lost_answers = 1
 
 
 @given("the record store loses the answer to the next write of a mark")
 def step_lose_mark_answer(context):
-    context.world.store.spared_key = ""
-    context.world.store.lost_answers = 1
+    context.cluster.store.never_lost_key = ""
+    context.cluster.store.lost_answers = 1
 
 
 @given("the record store loses the answer to the next write and goes out")
 def step_lose_answer_and_out(context):
-    store = context.world.store
+    store = context.cluster.store
     store.lost_answers = 1
     store.on_loss = lambda: store.set_outage(True)
 
 
 @given("the record store loses the next write on an existing pool")
 def step_lose_write(context):
-    context.world.store.lost_writes = 1
+    context.cluster.store.lost_writes = 1
 
 
 @when('records daemon "{name:w}" applies endpoint "{endpoint:w}"')
 def step_apply_endpoint(context, name, endpoint):
     context.key = make_key("endpoints", endpoint)
-    attempt(context, context.world.put, name, "endpoints", endpoint, ENDPOINT_V1)
+    attempt(context, context.cluster.put, name, "endpoints", endpoint, ENDPOINT_V1)
 
 
 @when('records daemon "{name:w}" applies an endpoint of the missing pool "{pool:w}"')
 def step_apply_dangling(context, name, pool):
     raw = ENDPOINT_V1 | {"pool": pool}
-    attempt(context, context.world.put, name, "endpoints", "e1", raw)
+    attempt(context, context.cluster.put, name, "endpoints", "e1", raw)
 
 
 @when('records daemon "{name:w}" changes pool "{pool:w}"')
 def step_change_pool(context, name, pool):
     context.key = make_key("pools", pool)
-    revision = context.world.store.find(context.key).revision
-    attempt(context, context.world.put, name, "pools", pool, POOL, revision)
+    revision = context.cluster.store.find(context.key).revision
+    attempt(context, context.cluster.put, name, "pools", pool, POOL, revision)
 
 
 @when('records daemon "{name:w}" changes pool "{pool:w}" and "{other:w}" does so before the answer')
 def step_overtaken(context, name, pool, other):
-    store = context.world.store
+    store = context.cluster.store
     held = store.find(make_key("pools", pool))
     value = held.value.replace(b"change-of-other", other.encode())
     value = value.replace(b'"replaces_revision":0', b'"replaces_revision":%d' % held.revision)
@@ -65,7 +65,7 @@
 
 @when('records daemons "{first:w}" and "{second:w}" change pool "{pool:w}" at one revision')
 def step_race(context, first, second, pool):
-    revision = context.world.store.find(make_key("pools", pool)).revision
+    revision = context.cluster.store.find(make_key("pools", pool)).revision
     context.results, context.errors = [], []
 
     async def change(editor: RecordEditor) -> None:
@@ -77,9 +77,9 @@
     async def race() -> None:
         async with anyio.create_task_group() as tasks:
             for name in (first, second):
-                tasks.start_soon(change, context.world.daemons[name].editor)
+                tasks.start_soon(change, context.cluster.daemons[name].editor)
 
-    context.world.run(race)
+    context.cluster.run(race)
 
 
 @then('one record change is accepted and the other is refused with "{code:w}" and its revision')
@@ -92,11 +92,11 @@
 @then("the record change is accepted at the stored revision and was written once")
 def step_written_once(context):
     assert context.error is None, context.error
-    stored = context.world.store.find(context.key)
+    stored = context.cluster.store.find(context.key)
     assert stored.revision == context.result
     assert b"change-of-a" in stored.value
     created = 1 if context.key == make_key("pools", "oak") else 0  # by the background
-    assert context.world.store.count_writes(context.key) == 1 + created
+    assert context.cluster.store.count_writes(context.key) == 1 + created
 
 
 @then('the record change is refused with "{code:w}" and its change id')
--- a/tests/steps/records_spread_steps.py
+++ b/tests/steps/records_spread_steps.py
@@ -20,113 +20,113 @@
 
 @when('records daemons "{first:w}" and "{second:w}" start')
 def step_daemons(context, first, second):
-    context.world.add_daemon(first)
-    context.world.add_daemon(second)
+    context.cluster.add_daemon(first)
+    context.cluster.add_daemon(second)
 
 
 @given('a records daemon "{name:w}" that cannot reach the store')
 def step_daemon_without_store(context, name):
-    context.world.add_daemon(name, follows_store=False)
+    context.cluster.add_daemon(name, follows_store=False)
 
 
 @given('only records daemons "{first:w}" and "{second:w}" that do not run by themselves')
 def step_idle_daemons(context, first, second):
     step_no_other(context)
     for name in (first, second):
-        context.world.add_daemon(name, follows_store=False, spreads=False)
-        context.world.daemons[name].view.mark_loaded("peer")
+        context.cluster.add_daemon(name, follows_store=False, replicates=False)
+        context.cluster.daemons[name].view.mark_loaded("peer")
 
 
 @given('only records daemon "{name:w}" that has loaded nothing')
 def step_unloaded_daemon(context, name):
     step_no_other(context)
-    context.world.add_daemon(name, follows_store=False, spreads=False)
+    context.cluster.add_daemon(name, follows_store=False, replicates=False)
 
 
 @given('a records daemon "{name:w}" whose peers get {answer}')
 def step_wrong_answers(context, name, answer):
-    context.world.add_daemon(name, follows_store=False, spreads=False)
-    context.world.daemons[name].view.mark_loaded("store")
+    context.cluster.add_daemon(name, follows_store=False, replicates=False)
+    context.cluster.daemons[name].view.mark_loaded("store")
     answers = {
         "an answer without a view": Records([], [], False, 9, 0, ""),
         "the same chunk again": Records([], [], True, 9, 0, "key"),
         "something else": "text",
     }
-    context.world.wrong_reply = answers[answer]
+    context.cluster.wrong_reply = answers[answer]
 
 
 @then('records daemon "{name:w}" has loaded nothing after {count:d} requests')
 def step_nothing_loaded(context, name, count):
-    assert not context.world.daemons[name].view.is_loaded
-    assert len(context.world.requests) == count, len(context.world.requests)
+    assert not context.cluster.daemons[name].view.is_loaded
+    assert len(context.cluster.requests) == count, len(context.cluster.requests)
 
 
 @given('records daemon "{name:w}" has forgotten deletions up to revision {revision:d}')
 def step_forgotten(context, name, revision):
-    context.world.daemons[name].view.raise_forgotten_revision(revision)
+    context.cluster.daemons[name].view.raise_forgotten_revision(revision)
 
 
 @given("no other records daemon runs")
 def step_no_other(context):
-    for name in list(context.world.daemons):
-        context.world.stop_daemon(name)
+    for name in list(context.cluster.daemons):
+        context.cluster.stop_daemon(name)
 
 
 @given('records daemon "{name:w}" applied {count:d} more pools')
 def step_many_pools(context, name, count):
     for position in range(count):
-        context.world.put(name, "pools", f"pool-{position}", POOL)
+        context.cluster.put(name, "pools", f"pool-{position}", POOL)
 
 
 @given('records daemon "{name:w}" alone knows of pool "{pool:w}"')
 def step_knows_alone(context, name, pool):
-    revision = context.world.write("pools", pool, POOL)
-    entry = context.world.store.find(make_key("pools", pool))
+    revision = context.cluster.write("pools", pool, POOL)
+    entry = context.cluster.store.find(make_key("pools", pool))
     assert entry.revision == revision
-    context.world.call(context.world.daemons[name].view.apply, (entry,), ())
+    context.cluster.call(context.cluster.daemons[name].view.apply, (entry,), ())
 
 
 @when('records daemon "{name:w}" looks {count:d} times at the digests')
 def step_look(context, name, count):
     for _ in range(count):
-        context.world.run(context.world.daemons[name].spreader.reconcile)
+        context.cluster.run(context.cluster.daemons[name].replicator.reconcile)
 
 
 @then("{count:d} record fetch was made")
 @then("{count:d} record fetches were made")
 def step_count_fetches(context, count):
-    assert len(context.world.requests) == count, len(context.world.requests)
+    assert len(context.cluster.requests) == count, len(context.cluster.requests)
 
 
 @then('records daemon "{name:w}" is "{state:w}" from "{source:w}"')
 def step_loaded(context, name, state, source):
-    daemon = context.world.daemons[name]
-    context.world.run(daemon.view.wait_loaded)
-    assert (daemon.spreader.state, daemon.view.source) == (ViewState(state), source)
+    daemon = context.cluster.daemons[name]
+    context.cluster.run(daemon.view.wait_loaded)
+    assert (daemon.replicator.state, daemon.view.source) == (ViewState(state), source)
 
 
 @then('records daemon "{name:w}" comes to be "{state:w}"')
 def step_comes_to_be(context, name, state):
-    daemon = context.world.daemons[name]
-    context.world.run(daemon.spreader.wait_sourceless)
-    assert daemon.spreader.state is ViewState(state)
-    assert not context.world.daemons[name].view.is_loaded
+    daemon = context.cluster.daemons[name]
+    context.cluster.run(daemon.replicator.wait_for_source_timeout)
+    assert daemon.replicator.state is ViewState(state)
+    assert not context.cluster.daemons[name].view.is_loaded
 
 
 @when('records daemon "{name:w}" applies pool "{pool:w}" and the store goes out at once')
 def step_apply_then_out(context, name, pool):
-    world = context.world
+    cluster = context.cluster
 
     async def apply() -> None:
-        await world.daemons[name].editor.put("pools", pool, POOL, 0)
-        world.store.set_outage(True)
+        await cluster.daemons[name].editor.put("pools", pool, POOL, 0)
+        cluster.store.set_outage(True)
 
-    world.run(apply)
+    cluster.run(apply)
 
 
 @when('records daemon "{name:w}" applies pool "{pool:w}" and the notification is lost')
 def step_apply_lost(context, name, pool):
-    context.world.daemons[name].network.lost_notifications = 1
+    context.cluster.daemons[name].network.lost_notifications = 1
     context.execute_steps(f'When records daemon "{name}" applies pool "{pool}"')
 
 
@@ -138,22 +138,22 @@
 
 @when('records daemon "{name:w}" deletes pool "{pool:w}" and the notification is lost')
 def step_delete_lost(context, name, pool):
-    context.world.daemons[name].network.lost_notifications = 1
+    context.cluster.daemons[name].network.lost_notifications = 1
     context.execute_steps(f'When records daemon "{name}" deletes pool "{pool}"')
     assert context.error is None
 
 
 @then("the peers' record messages were several, each below {size:d} bytes")
 def step_chunks(context, size):
-    assert len(context.world.replies) > 1
-    for reply in context.world.replies:
+    assert len(context.cluster.replies) > 1
+    for reply in context.cluster.replies:
         packed = msgpack.packb([getattr(reply, name) for name in reply.__dataclass_fields__])
         assert len(packed) < size, len(packed)
 
 
 @then("the last record fetch carried at most {count:d} records")
 def step_small_fetch(context, count):
-    carrying = [reply for reply in context.world.replies if reply.entries]
+    carrying = [reply for reply in context.cluster.replies if reply.entries]
     assert len(carrying[-1].entries) <= count, carrying[-1]
 
 
@@ -163,11 +163,11 @@
     for item in entries or []:
         if item[1:2] == ["bytes"]:
             item[1] = b"{}"
-    daemon = context.world.daemons[name]
+    daemon = context.cluster.daemons[name]
     before = daemon.view.take_snapshot()
     context.refused = False
     try:
-        context.world.call(daemon.spreader.handle_accepted, RecordsAccepted(entries, []))
+        context.cluster.call(daemon.replicator.handle_accepted, RecordsAccepted(entries, []))
     except RecordMessageInvalidError:
         context.refused = True
     context.is_unchanged = daemon.view.take_snapshot() == before
@@ -181,7 +181,7 @@
 
 @then('records daemon "{name:w}" refuses requests for records with wrong fields')
 def step_wrong_requests(context, name):
-    spreader = context.world.daemons[name].spreader
+    replicator = context.cluster.daemons[name].replicator
     for request in (FetchRecords(b"", 1), FetchRecords("text", "")):
-        attempt(context, context.world.call, spreader.handle_fetch, request)
+        attempt(context, context.cluster.call, replicator.handle_fetch, request)
         assert context.error is not None
--- a/tests/steps/records_view_steps.py
+++ b/tests/steps/records_view_steps.py
@@ -58,7 +58,7 @@
     first, second = context.views
     assert first.revision == second.revision
     assert first.digests.summarize() != second.digests.summarize()
-    assert len(first.digests.find_differing(second.digests.encode())) == 1
+    assert len(first.digests.find_differing_buckets(second.digests.encode())) == 1
 
 
 @given('a record view with a pool "oak" and an endpoint "e1"')
--- a/tests/steps/records_watcher_steps.py
+++ b/tests/steps/records_watcher_steps.py
@@ -7,7 +7,7 @@
 from berylproxy.records.backoff import Backoff
 from berylproxy.records.envelope import make_key
 from berylproxy.records.view import RecordView
-from berylproxy.records.watcher import StoreState, find_reversal
+from berylproxy.records.watcher import StoreState, find_rollback_evidence
 from berylproxy.store.port import Entry, Listing
 from tests.support.records_world import POOL
 
@@ -16,46 +16,46 @@
 
 @given('a records daemon "{name:w}" without a network')
 def step_daemon_cut(context, name):
-    context.world.add_daemon(name, spreads=False)
-    context.world.daemons[name].network.is_cut = True
+    context.cluster.add_daemon(name, replicates=False)
+    context.cluster.daemons[name].network.is_isolated = True
 
 
 @when('record pool "{pool:w}" is deleted in the store')
 def step_delete_in_store(context, pool):
-    held = context.world.store.find(make_key("pools", pool))
-    context.world.write("pools", pool, None, held.revision)
+    held = context.cluster.store.find(make_key("pools", pool))
+    context.cluster.write("pools", pool, None, held.revision)
 
 
 @when('the record store goes out for {count:d} attempts of records daemon "{name:w}"')
 def step_outage_attempts(context, count, name):
-    store = context.world.store
-    context.world.call(store.set_outage, True)
+    store = context.cluster.store
+    context.cluster.call(store.set_outage, True)
 
-    context.world.run(store.wait_for_calls, "list_prefix", store.calls["list_prefix"] + count)
+    context.cluster.run(store.wait_for_calls, "list_prefix", store.calls["list_prefix"] + count)
 
 
 @when('record pool "{new:w}" is written, "{old:w}" deleted and the outage ends')
 def step_write_in_outage(context, new, old):
-    context.world.write("pools", new, POOL)
+    context.cluster.write("pools", new, POOL)
     step_delete_in_store(context, old)
-    context.world.call(context.world.store.set_outage, False)
+    context.cluster.call(context.cluster.store.set_outage, False)
 
 
 @when('record pool "{pool:w}" is written and the store compacts before it is seen')
 def step_compact(context, pool):
-    context.lists = context.world.store.calls["list_prefix"]
+    context.lists = context.cluster.store.calls["list_prefix"]
 
     def write_and_compact() -> None:
-        held = context.world.store.find(make_key("pools", "oak"))
-        context.world.store.write(make_key("pools", pool), held.value, 0)
-        context.world.store.compact()
+        held = context.cluster.store.find(make_key("pools", "oak"))
+        context.cluster.store.write(make_key("pools", pool), held.value, 0)
+        context.cluster.store.compact()
 
-    context.world.call(write_and_compact)
+    context.cluster.call(write_and_compact)
 
 
 @when('pools "ash", "elm" and "fir" are written, peers tell the last and the watch one by one')
 def step_one_by_one(context):
-    store = context.world.store
+    store = context.cluster.store
     store.max_batch_changes = 1
     context.lists = store.calls["list_prefix"]
 
@@ -64,31 +64,31 @@
         for pool in ("ash", "elm", "fir"):
             revision = store.write(make_key("pools", pool), value, 0)
         told = Entry(make_key("pools", "fir"), value, revision)
-        context.world.daemons["a"].view.apply_from_peer((told,), ())
+        context.cluster.daemons["a"].view.apply_from_peer((told,), ())
 
-    context.world.call(write_and_tell)
+    context.cluster.call(write_and_tell)
 
 
 @then("the record store was not listed again")
 def step_not_listed(context):
-    assert context.world.store.calls["list_prefix"] == context.lists
+    assert context.cluster.store.calls["list_prefix"] == context.lists
 
 
 @then('records daemon "{name:w}" follows the store')
 def step_follows(context, name):
-    watcher = context.world.daemons[name].watcher
-    context.world.run(watcher.wait_for_state, StoreState.FOLLOWING)
-    assert context.world.store.calls["list_prefix"] == context.lists + 1
+    watcher = context.cluster.daemons[name].watcher
+    context.cluster.run(watcher.wait_for_state, StoreState.FOLLOWING)
+    assert context.cluster.store.calls["list_prefix"] == context.lists + 1
 
 
 @when('the record store is backed up, gets pool "{pool:w}" and is restored {afterwards}')
 def step_restore(context, pool, afterwards):
-    world = context.world
-    backup = world.store.make_backup()
-    world.put("a", "pools", pool, POOL)
+    cluster = context.cluster
+    backup = cluster.store.make_backup()
+    cluster.put("a", "pools", pool, POOL)
 
     def restore() -> None:
-        store = world.store
+        store = cluster.store
         store.restore(backup, breaks_watches="silently" not in afterwards)
         held = store.find(make_key("pools", "oak"))
         if "rebuilt" in afterwards:
@@ -99,14 +99,14 @@
             for revision in (0, 2, 3):
                 store.write(make_key("pools", pool), held.value, revision)
 
-    world.call(restore)
-    world.write("pools", "fir", POOL)
+    cluster.call(restore)
+    cluster.write("pools", "fir", POOL)
 
 
 @then('records daemon "{name:w}" reports the store as "{state:w}"')
 def step_store_state(context, name, state):
-    watcher = context.world.daemons[name].watcher
-    context.world.run(watcher.wait_for_state, StoreState(state))
+    watcher = context.cluster.daemons[name].watcher
+    context.cluster.run(watcher.wait_for_state, StoreState(state))
     assert watcher.problem
 
 
@@ -120,7 +120,7 @@
             value = b"other" if words[-1] == "value" else b"5"
             entries.append(Entry(words[0], value, int(words[2])))
         listing = Listing(int(row["revision"]), tuple(entries))
-        sign = find_reversal(listing, known.take_snapshot())
+        sign = find_rollback_evidence(listing, known.take_snapshot())
         assert bool(sign) == (row["sign"] == "older"), (row, sign)
 
 
--- a/tests/support/memory_store.py
+++ b/tests/support/memory_store.py
@@ -35,10 +35,10 @@
     """
 
     def __init__(self) -> None:
-        self.is_out = False
+        self.is_unavailable = False
         self.lost_answers = 0
         self.lost_writes = 0
-        self.spared_key = ""
+        self.never_lost_key = ""
         self.on_loss: Callable[[], None] = lambda: None
         self.max_batch_changes = 0
         self.calls: Counter[str] = Counter()
@@ -46,21 +46,21 @@
         self._entries: dict[str, Entry] = {}
         self._log: list[Entry] = []  # a deletion has an empty value
         self._compacted_revision = 0
-        self._restorations = 0
+        self._restore_count = 0
         self._leases: dict[int, set[str]] = {}
         self._changed = anyio.Event()
         self._called = anyio.Event()
 
-    def set_outage(self, is_out: bool) -> None:
+    def set_outage(self, is_unavailable: bool) -> None:
         """Starts or ends an outage; watches that wait fail at once."""
-        self.is_out = is_out
-        self._wake()
+        self.is_unavailable = is_unavailable
+        self._notify_watchers()
 
     def compact(self) -> None:
         """Forgets all past changes; watches that wait fail at once."""
         self._compacted_revision = self.revision
         self._log.clear()
-        self._wake()
+        self._notify_watchers()
 
     def make_backup(self) -> tuple[int, dict[str, Entry]]:
         """Copies the present state."""
@@ -68,10 +68,10 @@
 
     def restore(self, backup: tuple[int, dict[str, Entry]], *, breaks_watches: bool = True) -> None:
         """Goes back to an earlier state."""
-        self._restorations += breaks_watches
+        self._restore_count += breaks_watches
         self.revision, self._entries = backup[0], dict(backup[1])
         self._log = [entry for entry in self._log if entry.revision <= self.revision]
-        self._wake()
+        self._notify_watchers()
 
     async def get(self, key: str) -> Entry | None:
         self._count("get")
@@ -98,11 +98,11 @@
         self, prefix: str, after_revision: int, wait_s: float
     ) -> ChangeBatch:
         self._count("wait_for_changes")
-        restorations = self._restorations
+        restore_count = self._restore_count
         with anyio.move_on_after(wait_s):
             while after_revision >= self._compacted_revision:
                 self._check_available()
-                if self._restorations != restorations:
+                if self._restore_count != restore_count:
                     raise StoreUnavailableError("restored")
                 if self.revision != after_revision:
                     return self._collect(prefix, after_revision)
@@ -146,14 +146,14 @@
         return sum(entry.key == key for entry in self._log)
 
     def _check_available(self) -> None:
-        if self.is_out:
+        if self.is_unavailable:
             raise StoreUnavailableError("outage")
 
     def write(self, key: str, value: bytes, expected_revision: int) -> int:
         """Writes at once; an empty value deletes."""
-        if self.lost_writes and key != self.spared_key:
+        if self.lost_writes and key != self.never_lost_key:
             self.lost_writes -= 1
-            raise self._lose()
+            raise self._report_loss()
         held = self._entries.get(key)
         if (held.revision if held else 0) != expected_revision:
             raise StoreConflictError("another revision")
@@ -164,13 +164,13 @@
         else:
             del self._entries[key]
         self._log.append(entry)
-        self._wake()
-        if self.lost_answers and key != self.spared_key:
+        self._notify_watchers()
+        if self.lost_answers and key != self.never_lost_key:
             self.lost_answers -= 1
-            raise self._lose()
+            raise self._report_loss()
         return self.revision
 
-    def _lose(self) -> StoreOutcomeUnknownError:
+    def _report_loss(self) -> StoreOutcomeUnknownError:
         self.on_loss()
         return StoreOutcomeUnknownError("no answer")
 
@@ -185,6 +185,6 @@
         deletions = tuple(entry for entry in last.values() if not entry.value)
         return ChangeBatch(revision, updates, deletions)
 
-    def _wake(self) -> None:
+    def _notify_watchers(self) -> None:
         self._changed.set()
         self._changed = anyio.Event()
--- a/tests/support/records_world.py
+++ b/tests/support/records_world.py
@@ -10,14 +10,14 @@
 
 from berylproxy.models import DaemonIdentity
 from berylproxy.peers.membership import Member, MemberStatus, PeerUnreachableError
-from berylproxy.records.editor import EditPace, RecordEditor
-from berylproxy.records.envelope import MARK_KEY, Envelope, encode_envelope, make_key
+from berylproxy.records.editor import EditTimeouts, RecordEditor
+from berylproxy.records.envelope import CREATION_MARKER_KEY, Envelope, encode_envelope, make_key
 from berylproxy.records.errors import RecordError
 from berylproxy.records.messages import FetchRecords
 from berylproxy.records.models import Configuration
-from berylproxy.records.spread import CONFIG_PART, RecordSpreader, SpreadPace
+from berylproxy.records.spread import CONFIG_PART, RecordReplicator, ReplicationLimits
 from berylproxy.records.view import RecordView
-from berylproxy.records.watcher import RecordWatcher, WatchPace
+from berylproxy.records.watcher import RecordWatcher, WatchTimings
 from tests.support.memory_store import MemoryStore
 
 STEP_TIMEOUT_S = 60
@@ -65,77 +65,81 @@
     :ivar is_cut: whether the daemon sees no others.
     """
 
-    def __init__(self, world: "RecordsWorld", name: str) -> None:
-        self._world = world
+    def __init__(self, cluster: "RecordsCluster", name: str) -> None:
+        self._cluster = cluster
         self._name = name
         self.lost_notifications = 0
-        self.is_cut = False
+        self.is_isolated = False
 
     def members(self) -> list[Member]:
-        if self.is_cut:
+        if self.is_isolated:
             return []
-        others = [daemon for name, daemon in self._world.daemons.items() if name != self._name]
+        others = [daemon for name, daemon in self._cluster.daemons.items() if name != self._name]
         return [daemon.describe() for daemon in others]
 
     async def request(self, incarnation: str, message: Any, timeout_s: float) -> Any:
         await anyio.lowlevel.checkpoint()
-        if incarnation not in self._world.daemons:
+        if incarnation not in self._cluster.daemons:
             raise PeerUnreachableError("no stream")
         assert isinstance(message, FetchRecords)
-        self._world.requests.append(message)
-        if self._world.wrong_reply is not None:
-            return self._world.wrong_reply
-        reply = self._world.daemons[incarnation].spreader.handle_fetch(message)
-        self._world.replies.append(reply)
+        self._cluster.requests.append(message)
+        if self._cluster.wrong_reply is not None:
+            return self._cluster.wrong_reply
+        reply = self._cluster.daemons[incarnation].replicator.handle_fetch(message)
+        self._cluster.replies.append(reply)
         return reply
 
     def notify(self, incarnation: str, message: Any) -> None:
         if self.lost_notifications:
             self.lost_notifications -= 1
         else:
-            self._world.daemons[incarnation].spreader.handle_accepted(message)
+            self._cluster.daemons[incarnation].replicator.handle_accepted(message)
 
 
 class RecordsDaemon:
     """The records' part of one daemon. Its name stands for its incarnation."""
 
-    def __init__(self, world: "RecordsWorld", name: str) -> None:
+    def __init__(self, cluster: "RecordsCluster", name: str) -> None:
         self.name = name
         self.view = RecordView()
-        self.network = MemoryNetwork(world, name)
+        self.network = MemoryNetwork(cluster, name)
         self.watcher = RecordWatcher(
-            world.store,
+            cluster.store,
             self.view,
             Random(1),
-            pace=WatchPace(wait_s=0.2, min_interval_s=0, first_delay_s=0.01, max_delay_s=0.05),
+            timings=WatchTimings(
+                wait_s=0.2, min_interval_s=0, first_delay_s=0.01, max_delay_s=0.05
+            ),
         )
-        self.spreader = RecordSpreader(
+        self.replicator = RecordReplicator(
             self.view,
             self.network,
             Random(2),
-            pace=SpreadPace(check_interval_s=0.01, source_timeout_s=0.05, max_chunk_bytes=2_000),
+            limits=ReplicationLimits(
+                check_interval_s=0.01, source_timeout_s=0.05, max_chunk_bytes=2_000
+            ),
         )
         self.editor = RecordEditor(
-            world.store,
+            cluster.store,
             self.view,
-            self.spreader,
+            self.replicator,
             lambda: self.watcher.accepts_writes,
-            pace=EditPace(outcome_timeout_s=0.3, read_back_interval_s=0.01),
+            timeouts=EditTimeouts(outcome_timeout_s=0.3, read_back_interval_s=0.01),
             new_change_id=lambda: f"change-of-{name}",
         )
 
     def describe(self) -> Member:
         identity = DaemonIdentity(self.name, self.name, "north", "127.0.0.1:1")
-        heartbeat = {CONFIG_PART: self.spreader.make_heartbeat_part()}
+        heartbeat = {CONFIG_PART: self.replicator.make_heartbeat_part()}
         return Member(identity, MemberStatus.ALIVE, True, heartbeat)
 
 
-class RecordsWorld:
+class RecordsCluster:
     """A store, daemons and the event loop that they run in."""
 
     def __init__(self) -> None:
         self.store = MemoryStore()
-        self.store.spared_key = MARK_KEY
+        self.store.never_lost_key = CREATION_MARKER_KEY
         self.daemons: dict[str, RecordsDaemon] = {}
         self.requests: list[Any] = []
         self.replies: list[Any] = []
@@ -166,13 +170,13 @@
 
         return self._portal.call(bounded)
 
-    def add_daemon(self, name: str, *, follows_store: bool = True, spreads: bool = True) -> None:
+    def add_daemon(self, name: str, *, follows_store: bool = True, replicates: bool = True) -> None:
         """Starts a daemon, with or without each of its two tasks."""
         self.daemons[name] = self._portal.call(RecordsDaemon, self, name)
         if follows_store:
             self._start(name, self.daemons[name].watcher.run)
-        if spreads:
-            self._start(name, self.daemons[name].spreader.run)
+        if replicates:
+            self._start(name, self.daemons[name].replicator.run)
 
     def _start(self, name: str, function: Callable[[], Awaitable[None]]) -> None:
         self._tasks.append((name, self._portal.start_task_soon(function)))
--- a/tools/slopes.py
+++ b/tools/slopes.py
@@ -45,7 +45,7 @@
 from berylproxy.records.envelope import Envelope, encode_envelope, make_key
 from berylproxy.records.messages import FetchRecords, Records
 from berylproxy.records.models import Endpoint, Service
-from berylproxy.records.spread import RecordSpreader
+from berylproxy.records.spread import RecordReplicator
 from berylproxy.records.view import RecordView
 from berylproxy.store.port import Entry, Listing
 from standins.cluster import Cluster, EndpointPlan
@@ -198,11 +198,11 @@
 def fetch_all(view: RecordView) -> int:
     """Counts the bytes of a full fetch between daemons."""
     codec = MessageCodec((FetchRecords, Records))
-    spreader = RecordSpreader(view, None, Random(1))
+    replicator = RecordReplicator(view, None, Random(1))
     fetched_bytes = 0
     after_key = ""
     while True:
-        reply = spreader.handle_fetch(FetchRecords(b"", after_key))
+        reply = replicator.handle_fetch(FetchRecords(b"", after_key))
         fetched_bytes += len(codec.encode(NoticeFrame(reply)))
         after_key = reply.next_after_key
         if not after_key:
