--- a/berylproxy/records/view.py
+++ b/berylproxy/records/view.py
@@ -33,8 +33,8 @@
     :param entry: the stored value, as sent to other daemons.
     :param change_id: identifier of the change that wrote the record; empty if unreadable.
     :param raw: the record's JSON; ``None`` if unreadable.
-    :param record_in_force: the parsed record in force, possibly of an earlier revision; ``None`` for
-        the creation marker and if no revision could be parsed.
+    :param record_in_force: the parsed record in force, possibly of an earlier revision; ``None``
+        for the creation marker and if no revision could be parsed.
     :param revision_in_force: revision of ``record_in_force``; 0 if no revision could be parsed.
     :param problem: the reason why this revision is not in force; ``None`` if it is in force.
     """
--- a/tests/records/api.feature
+++ b/tests/records/api.feature
@@ -36,8 +36,8 @@
       | GET    | pools/oak   | of a caller      |                                                                            | 403    | operator_only           |
     And the record store has no pool "elm"
 
-  Scenario: An outage answers with when to come back
-    Given the record store is out
+  Scenario: An outage is answered with a retry delay
+    Given the record store is unavailable
     Then operators' calls at records daemon "a" answer:
       | method | path      | headers          | body                  | status | says                 |
       | PUT    | pools/elm | If-None-Match: * | {"schema_version": 1} | 503    | "retry_after_s": 5.0 |
--- a/tests/records/schemas.feature
+++ b/tests/records/schemas.feature
@@ -1,4 +1,4 @@
-Feature: Records are checked whole before anything is kept of them
+Feature: Records are validated as a whole before they are stored
   Scenario: Two schema versions of an endpoint become one form
     When records are parsed:
       | template    | name |
@@ -9,7 +9,7 @@
 
   Scenario Outline: A broken rule is refused with the field's name
     When a <template> record is parsed with <field> set to <value>
-    Then the record error is "record_invalid" and names "<field>"
+    Then the record error is "record_invalid" for the field "<field>"
 
     Examples:
       | template    | field              | value                        |
@@ -55,7 +55,7 @@
 
   Scenario: A schema version that is not known has its own code
     When a endpoint record is parsed with schema_version set to 3
-    Then the record error is "schema_version_unknown" and names "schema_version"
+    Then the record error is "schema_version_unknown" for the field "schema_version"
 
   Scenario: A secret does not come back in an error
     When a team record is parsed with token_sha256 set to ["secret"]
--- a/tests/records/spread.feature
+++ b/tests/records/spread.feature
@@ -5,21 +5,21 @@
     And records daemon "a" has pool "oak" in force
 
   Scenario: An accepted change is in force at the others in the same step
-    Given only records daemons "b" and "c" that do not run by themselves
-    And records daemon "b" alone knows of pool "ash"
+    Given only records daemons "b" and "c" without background tasks
+    And records daemon "b" alone has pool "ash"
     When records daemon "b" applies pool "elm"
     Then records daemon "b" still has pool "elm" in force
     And records daemon "c" still has pool "elm" in force
 
-  Scenario: The store goes out right after an acceptance
+  Scenario: The store becomes unavailable right after it accepted a change
     Given a records daemon "b" that cannot reach the store
-    When records daemon "a" applies pool "elm" and the store goes out at once
+    When records daemon "a" applies pool "elm" and the store becomes unavailable at once
     Then records daemon "b" has pool "elm" in force
 
   Scenario: A missed notification shows in the digest
     Given a records daemon "b" that cannot reach the store
     And records daemon "b" has pool "oak" in force
-    When records daemon "a" applies pool "elm" unnoticed and then pool "ash"
+    When records daemon "a" applies pool "elm" unannounced and then pool "ash"
     Then records daemon "b" has pool "elm" in force
     And records daemon "b" has pool "ash" in force
 
@@ -31,7 +31,7 @@
 
   Scenario: A daemon restarted during an outage loads its view from a peer in chunks
     Given records daemon "a" applied 60 more pools
-    And the record store is out
+    And the record store is unavailable
     When a records daemon "b" starts
     Then records daemon "b" has 61 pools in force
     And records daemon "b" is "loaded" from "peer"
@@ -46,37 +46,37 @@
     And the last record fetch carried at most 5 records
 
   Scenario: A difference that fetching does not settle is not fetched again
-    Given only records daemons "b" and "c" that do not run by themselves
-    And records daemon "b" alone knows of pool "elm"
-    When records daemon "b" looks 10 times at the digests
+    Given only records daemons "b" and "c" without background tasks
+    And records daemon "b" alone has pool "elm"
+    When records daemon "b" compares the digests 10 times
     Then 1 record fetch was made
-    When records daemon "c" looks 1 times at the digests
+    When records daemon "c" compares the digests 1 times
     Then 1 record fetch was made
-    When records daemon "c" looks 10 times at the digests
+    When records daemon "c" compares the digests 10 times
     Then 2 record fetches were made
     And records daemon "c" has pool "elm" in force
 
   Scenario: Without store and peer a daemon says that it is not ready
-    Given the record store is out
+    Given the record store is unavailable
     And no other records daemon runs
     When a records daemon "b" starts
-    Then records daemon "b" comes to be "no_configuration_source"
-    When the record store is back
+    Then records daemon "b" changes to the state "no_configuration_source"
+    When the record store is available again
     Then records daemon "b" has pool "oak" in force
     And records daemon "b" is "loaded" from "store"
 
   Scenario: A daemon without a view is no source for another
-    Given the record store is out
+    Given the record store is unavailable
     And no other records daemon runs
     When records daemons "b" and "c" start
-    Then records daemon "b" comes to be "no_configuration_source"
-    And records daemon "c" comes to be "no_configuration_source"
+    Then records daemon "b" changes to the state "no_configuration_source"
+    And records daemon "c" changes to the state "no_configuration_source"
     And 0 record fetches were made
 
-  Scenario Outline: A peer's wrong answer is no view
+  Scenario Outline: An invalid answer from a peer does not load the view
     Given only records daemon "b" that has loaded nothing
-    And a records daemon "d" whose peers get <answer>
-    When records daemon "b" looks 1 times at the digests
+    And a records daemon "d" whose peers receive <answer>
+    When records daemon "b" compares the digests 1 times
     Then records daemon "b" has loaded nothing after <count> requests
 
     Examples:
@@ -85,7 +85,7 @@
       | the same chunk again       | 2     |
       | something else             | 1     |
 
-  Scenario: What a peer has forgotten as deleted is not taken from another
+  Scenario: A record whose deletion one peer may have forgotten is not accepted from another
     Given records daemon "a" has forgotten deletions up to revision 90
     And a records daemon "b" that cannot reach the store
     And records daemon "b" has pool "oak" in force
--- a/tests/records/watcher.feature
+++ b/tests/records/watcher.feature
@@ -1,4 +1,4 @@
-Feature: The view follows the store and keeps out a store that went back
+Feature: The view follows the store and rejects a store that was rolled back
   Background:
     Given a record store with a pool "oak"
     And a records daemon "a" without a network
@@ -15,7 +15,7 @@
     Then records daemon "a" has no pool "oak"
 
   Scenario: An outage leaves the view in force and does not flood the store
-    When the record store goes out for 20 attempts of records daemon "a"
+    When the record store is unavailable for 20 attempts of records daemon "a"
     Then records daemon "a" reports the store as "store_unavailable"
     And records daemon "a" still has pool "oak" in force
     When record pool "elm" is written, "oak" deleted and the outage ends
@@ -23,12 +23,12 @@
     And records daemon "a" has no pool "oak"
 
   Scenario: Changes that were compacted away are listed
-    When record pool "elm" is written and the store compacts before it is seen
+    When record pool "elm" is written and the store compacts before the watch returns it
     Then records daemon "a" has pool "elm" in force
     And records daemon "a" follows the store
 
-  Scenario: A watch that has not told all that peers told is no sign of a reverted store
-    When pools "ash", "elm" and "fir" are written, peers tell the last and the watch one by one
+  Scenario: A watch that lags behind changes from peers is no sign of a reverted store
+    When pools "ash", "elm" and "fir" are written, a peer sends the last and each watch returns one
     Then records daemon "a" has pool "elm" in force
     And the record store was not listed again
 
@@ -39,7 +39,7 @@
     And records daemon "a" still has no pool "fir"
     And records daemon "a" refuses to apply pool "ash" with "store_reverted"
     And the record store has no pool "ash"
-    When the record store goes out for 3 attempts of records daemon "a"
+    When the record store is unavailable for 3 attempts of records daemon "a"
     Then records daemon "a" reports the store as "store_reverted"
 
     Examples:
@@ -57,8 +57,8 @@
     Then records daemon "a" reports the store as "store_reverted"
     And records daemon "a" still has pool "elm" in force
 
-  Scenario: Each sign of a store that went back is enough
-    Then with pool "oak" at revision 5 and pool "elm" deleted at 9 these lists tell:
+  Scenario: Each sign of a rolled-back store is sufficient
+    Then with pool "oak" at revision 5 and pool "elm" deleted at 9 these listings show:
       | revision | records                   | sign  |
       | 9        | oak at 5                  | none  |
       | 12       | oak at 11                 | none  |
--- a/tests/steps/records_api_steps.py
+++ b/tests/steps/records_api_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the operators' interface to the records."""
+"""Steps for the operators' HTTP interface to the records."""
 
 import json
 
@@ -22,16 +22,16 @@
 
 
 def authorize(request):
-    """Accepts one token."""
+    """Accepts only the operator's token."""
     token = request.headers.get("authorization")
     if token is None:
         raise TokenRequiredError("no token")
     if token != OPERATOR_TOKEN:
-        raise OperatorOnlyError("another's token")
+        raise OperatorOnlyError("not the operator's token")
 
 
 def make_headers(text):
-    """Makes the headers that a table row stands for."""
+    """Returns the headers that a table cell describes."""
     if text == "without token":
         return {}
     headers = {"Authorization": "Bearer caller" if text == "of a caller" else OPERATOR_TOKEN}
@@ -62,7 +62,7 @@
 
 
 def check_body(response):
-    """Checks what all answers share."""
+    """Checks the fields that all responses have in common."""
     body = json.loads(response.content)
     if response.is_error:
         assert body["outcome"] == "not_run"
--- a/tests/steps/records_editor_steps.py
+++ b/tests/steps/records_editor_steps.py
@@ -1,4 +1,4 @@
-"""Steps for operators' changes to records."""
+"""Steps for operators' changes to the records."""
 
 import anyio
 from behave import given, then, when
@@ -16,14 +16,14 @@
     context.cluster.store.lost_answers = 1
 
 
-@given("the record store loses the answer to the next write of a mark")
+@given("the record store loses the answer to the next write of a creation marker")
 def step_lose_mark_answer(context):
     context.cluster.store.never_lost_key = ""
     context.cluster.store.lost_answers = 1
 
 
-@given("the record store loses the answer to the next write and goes out")
-def step_lose_answer_and_out(context):
+@given("the record store loses the answer to the next write and becomes unavailable")
+def step_lose_answer_then_outage(context):
     store = context.cluster.store
     store.lost_answers = 1
     store.on_loss = lambda: store.set_outage(True)
@@ -53,13 +53,15 @@
     attempt(context, context.cluster.put, name, "pools", pool, POOL, revision)
 
 
-@when('records daemon "{name:w}" changes pool "{pool:w}" and "{other:w}" does so before the answer')
-def step_overtaken(context, name, pool, other):
+@when(
+    'records daemon "{name:w}" changes pool "{pool:w}" and "{other:w}" changes it before the answer'
+)
+def step_changed_by_other(context, name, pool, other):
     store = context.cluster.store
-    held = store.find(make_key("pools", pool))
-    value = held.value.replace(b"change-of-other", other.encode())
-    value = value.replace(b'"replaces_revision":0', b'"replaces_revision":%d' % held.revision)
-    store.on_loss = lambda: store.write(held.key, value, held.revision)
+    stored = store.find(make_key("pools", pool))
+    value = stored.value.replace(b"change-of-other", other.encode())
+    value = value.replace(b'"replaces_revision":0', b'"replaces_revision":%d' % stored.revision)
+    store.on_loss = lambda: store.write(stored.key, value, stored.revision)
     step_change_pool(context, name, pool)
 
 
@@ -95,7 +97,7 @@
     stored = context.cluster.store.find(context.key)
     assert stored.revision == context.result
     assert b"change-of-a" in stored.value
-    created = 1 if context.key == make_key("pools", "oak") else 0  # by the background
+    created = 1 if context.key == make_key("pools", "oak") else 0  # written by the background
     assert context.cluster.store.count_writes(context.key) == 1 + created
 
 
--- a/tests/steps/records_schemas_steps.py
+++ b/tests/steps/records_schemas_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the schemas of records."""
+"""Steps for the schemas of the records."""
 
 import json
 import re
@@ -51,7 +51,7 @@
 
 @st.composite
 def damaged_records(draw):
-    """Draws a kind and a valid record with some fields replaced, or any value."""
+    """Draws a kind with a valid record whose fields are partly replaced, or with any value."""
     kind, template = draw(st.sampled_from(sorted(TEMPLATES.values(), key=str)))
     fields = draw(st.lists(st.sampled_from(sorted(template)), max_size=3))
     version = draw(st.sampled_from([template["schema_version"], 1, 2, 3]))
@@ -86,18 +86,20 @@
         context.error = error
 
 
-@then('endpoint record "{name}" has slots {slots:d}, connections {count:d} and cost bearer "{who}"')
-def step_check_endpoint(context, name, slots, count, who):
+@then(
+    'endpoint record "{name}" has slots {slots:d}, connections {count:d} and cost bearer "{bearer}"'
+)
+def step_check_endpoint(context, name, slots, count, bearer):
     endpoint = context.parsed[name]
-    assert (endpoint.slots, endpoint.connections, endpoint.cost_bearer) == (slots, count, who)
+    assert (endpoint.slots, endpoint.connections, endpoint.cost_bearer) == (slots, count, bearer)
 
 
-@then('the record error is "{code}" and names "{field}"')
+@then('the record error is "{code}" for the field "{field}"')
 def step_check_error(context, code, field):
     assert context.error is not None, "accepted"
     assert context.error.code == code, context.error.code
     if field == "run_time_s" and "<=" in context.error.message:
-        return  # a rule between fields names them in its reason
+        return  # the reason of a rule between several fields names them
     assert re.search(rf" {re.escape(field)}[:.]", context.error.message), context.error.message
 
 
--- a/tests/steps/records_spread_steps.py
+++ b/tests/steps/records_spread_steps.py
@@ -1,4 +1,4 @@
-"""Steps for records that pass between daemons."""
+"""Steps for the replication of records between daemons."""
 
 import json
 
@@ -29,9 +29,9 @@
     context.cluster.add_daemon(name, follows_store=False)
 
 
-@given('only records daemons "{first:w}" and "{second:w}" that do not run by themselves')
+@given('only records daemons "{first:w}" and "{second:w}" without background tasks')
 def step_idle_daemons(context, first, second):
-    step_no_other(context)
+    step_no_other_daemon(context)
     for name in (first, second):
         context.cluster.add_daemon(name, follows_store=False, replicates=False)
         context.cluster.daemons[name].view.mark_loaded("peer")
@@ -39,11 +39,11 @@
 
 @given('only records daemon "{name:w}" that has loaded nothing')
 def step_unloaded_daemon(context, name):
-    step_no_other(context)
+    step_no_other_daemon(context)
     context.cluster.add_daemon(name, follows_store=False, replicates=False)
 
 
-@given('a records daemon "{name:w}" whose peers get {answer}')
+@given('a records daemon "{name:w}" whose peers receive {answer}')
 def step_wrong_answers(context, name, answer):
     context.cluster.add_daemon(name, follows_store=False, replicates=False)
     context.cluster.daemons[name].view.mark_loaded("store")
@@ -67,7 +67,7 @@
 
 
 @given("no other records daemon runs")
-def step_no_other(context):
+def step_no_other_daemon(context):
     for name in list(context.cluster.daemons):
         context.cluster.stop_daemon(name)
 
@@ -78,16 +78,16 @@
         context.cluster.put(name, "pools", f"pool-{position}", POOL)
 
 
-@given('records daemon "{name:w}" alone knows of pool "{pool:w}"')
-def step_knows_alone(context, name, pool):
+@given('records daemon "{name:w}" alone has pool "{pool:w}"')
+def step_has_alone(context, name, pool):
     revision = context.cluster.write("pools", pool, POOL)
     entry = context.cluster.store.find(make_key("pools", pool))
     assert entry.revision == revision
     context.cluster.call(context.cluster.daemons[name].view.apply, (entry,), ())
 
 
-@when('records daemon "{name:w}" looks {count:d} times at the digests')
-def step_look(context, name, count):
+@when('records daemon "{name:w}" compares the digests {count:d} times')
+def step_compare_digests(context, name, count):
     for _ in range(count):
         context.cluster.run(context.cluster.daemons[name].replicator.reconcile)
 
@@ -105,16 +105,16 @@
     assert (daemon.replicator.state, daemon.view.source) == (ViewState(state), source)
 
 
-@then('records daemon "{name:w}" comes to be "{state:w}"')
-def step_comes_to_be(context, name, state):
+@then('records daemon "{name:w}" changes to the state "{state:w}"')
+def step_reaches_state(context, name, state):
     daemon = context.cluster.daemons[name]
     context.cluster.run(daemon.replicator.wait_for_source_timeout)
     assert daemon.replicator.state is ViewState(state)
     assert not context.cluster.daemons[name].view.is_loaded
 
 
-@when('records daemon "{name:w}" applies pool "{pool:w}" and the store goes out at once')
-def step_apply_then_out(context, name, pool):
+@when('records daemon "{name:w}" applies pool "{pool:w}" and the store becomes unavailable at once')
+def step_apply_then_outage(context, name, pool):
     cluster = context.cluster
 
     async def apply() -> None:
@@ -130,7 +130,7 @@
     context.execute_steps(f'When records daemon "{name}" applies pool "{pool}"')
 
 
-@when('records daemon "{name:w}" applies pool "{lost:w}" unnoticed and then pool "{pool:w}"')
+@when('records daemon "{name:w}" applies pool "{lost:w}" unannounced and then pool "{pool:w}"')
 def step_apply_two(context, name, lost, pool):
     step_apply_lost(context, name, lost)
     context.execute_steps(f'When records daemon "{name}" applies pool "{pool}"')
--- a/tests/steps/records_steps.py
+++ b/tests/steps/records_steps.py
@@ -1,4 +1,4 @@
-"""Steps for daemons that hold records, shared by the features of records."""
+"""Steps for daemons with records, which all features of the records share."""
 
 from behave import given, then, when
 
@@ -25,19 +25,19 @@
 
 
 @when('records daemon "{name:w}" is sent pool "{pool:w}" at revision {revision:d} by a peer')
-def step_sent(context, name, pool, revision):
+def step_sent_by_peer(context, name, pool, revision):
     value = encode_envelope(Envelope("change", 0, POOL))
     message = RecordsAccepted([[make_key("pools", pool), value, revision]], [])
     context.cluster.call(context.cluster.daemons[name].replicator.handle_accepted, message)
 
 
-@given("the record store is out")
-def step_out(context):
+@given("the record store is unavailable")
+def step_store_unavailable(context):
     context.cluster.call(context.cluster.store.set_outage, True)
 
 
-@when("the record store is back")
-def step_back(context):
+@when("the record store is available again")
+def step_store_available(context):
     context.cluster.call(context.cluster.store.set_outage, False)
 
 
--- a/tests/steps/records_view_steps.py
+++ b/tests/steps/records_view_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the view of records."""
+"""Steps for the view of the records."""
 
 from random import Random
 
@@ -11,17 +11,17 @@
 
 
 def make_entry(kind, name, raw, revision):
-    """Makes an entry as the store holds it."""
+    """Returns an entry as it is in the store."""
     return Entry(make_key(kind, name), encode_envelope(Envelope("change", 0, raw)), revision)
 
 
 def make_deletion(kind, name, revision):
-    """Makes the deletion of an entry."""
+    """Returns the deletion of an entry."""
     return Entry(make_key(kind, name), b"", revision)
 
 
 def summarize(view):
-    """Returns all that must not depend on the order of changes."""
+    """Returns the parts of a view that must not depend on the order of changes."""
     return view.configuration, view.digests.summarize(), view.take_snapshot()
 
 
@@ -71,20 +71,20 @@
     context.view.apply(entries, ())
 
 
-@when('the record view gets endpoint "e1" in schema version {version:d}')
+@when('the record view receives endpoint "e1" in schema version {version:d}')
 def step_new_version(context, version):
     raw = ENDPOINT_V2 | {"schema_version": version}
     entry = make_entry("endpoints", "e1", raw, context.view.revision + 1)
     context.view.apply((entry,), ())
 
 
-@when('the record view gets broken values for endpoint "e1" and a new endpoint')
+@when('the record view receives broken values for endpoint "e1" and a new endpoint')
 def step_broken(context):
     keys = (make_key("endpoints", "e1"), make_key("endpoints", "e2"))
     context.view.apply((Entry(keys[0], b"{", 3), Entry(keys[1], b"[1]", 4)), ())
 
 
-@when('the record view gets a deletion of pool "oak"')
+@when('the record view receives a deletion of pool "oak"')
 def step_dangling(context):
     context.view.apply((), (make_deletion("pools", "oak", 3),))
 
@@ -112,7 +112,7 @@
     assert context.view.list_problems() == []
 
 
-@given("a record view that keeps 1 tombstone and got 3 deletions")
+@given("a record view limited to 1 tombstone after 3 deletions")
 def step_bounded(context):
     context.view = RecordView(max_tombstones=1)
     for revision, name in enumerate("abc", start=1):
@@ -122,7 +122,7 @@
     assert len(context.view.take_snapshot().tombstones) == 1
 
 
-@when("a peer sends it the first deleted record")
+@when("a peer sends the view the first deleted record")
 def step_resurrect(context):
     context.view.apply_from_peer((make_entry("pools", "a", POOL, 1),), ())
 
--- a/tests/steps/records_watcher_steps.py
+++ b/tests/steps/records_watcher_steps.py
@@ -1,4 +1,4 @@
-"""Steps for records that follow the store."""
+"""Steps for the watch of the records in the store."""
 
 from random import Random
 
@@ -15,18 +15,18 @@
 
 
 @given('a records daemon "{name:w}" without a network')
-def step_daemon_cut(context, name):
+def step_isolated_daemon(context, name):
     context.cluster.add_daemon(name, replicates=False)
     context.cluster.daemons[name].network.is_isolated = True
 
 
 @when('record pool "{pool:w}" is deleted in the store')
 def step_delete_in_store(context, pool):
-    held = context.cluster.store.find(make_key("pools", pool))
-    context.cluster.write("pools", pool, None, held.revision)
+    stored = context.cluster.store.find(make_key("pools", pool))
+    context.cluster.write("pools", pool, None, stored.revision)
 
 
-@when('the record store goes out for {count:d} attempts of records daemon "{name:w}"')
+@when('the record store is unavailable for {count:d} attempts of records daemon "{name:w}"')
 def step_outage_attempts(context, count, name):
     store = context.cluster.store
     context.cluster.call(store.set_outage, True)
@@ -41,32 +41,32 @@
     context.cluster.call(context.cluster.store.set_outage, False)
 
 
-@when('record pool "{pool:w}" is written and the store compacts before it is seen')
+@when('record pool "{pool:w}" is written and the store compacts before the watch returns it')
 def step_compact(context, pool):
     context.lists = context.cluster.store.calls["list_prefix"]
 
     def write_and_compact() -> None:
-        held = context.cluster.store.find(make_key("pools", "oak"))
-        context.cluster.store.write(make_key("pools", pool), held.value, 0)
+        stored = context.cluster.store.find(make_key("pools", "oak"))
+        context.cluster.store.write(make_key("pools", pool), stored.value, 0)
         context.cluster.store.compact()
 
     context.cluster.call(write_and_compact)
 
 
-@when('pools "ash", "elm" and "fir" are written, peers tell the last and the watch one by one')
+@when('pools "ash", "elm" and "fir" are written, a peer sends the last and each watch returns one')
 def step_one_by_one(context):
     store = context.cluster.store
     store.max_batch_changes = 1
     context.lists = store.calls["list_prefix"]
 
-    def write_and_tell() -> None:
+    def write_and_notify() -> None:
         value = store.find(make_key("pools", "oak")).value
         for pool in ("ash", "elm", "fir"):
             revision = store.write(make_key("pools", pool), value, 0)
-        told = Entry(make_key("pools", "fir"), value, revision)
-        context.cluster.daemons["a"].view.apply_from_peer((told,), ())
+        latest = Entry(make_key("pools", "fir"), value, revision)
+        context.cluster.daemons["a"].view.apply_from_peer((latest,), ())
 
-    context.cluster.call(write_and_tell)
+    context.cluster.call(write_and_notify)
 
 
 @then("the record store was not listed again")
@@ -90,14 +90,14 @@
     def restore() -> None:
         store = cluster.store
         store.restore(backup, breaks_watches="silently" not in afterwards)
-        held = store.find(make_key("pools", "oak"))
+        stored = store.find(make_key("pools", "oak"))
         if "rebuilt" in afterwards:
-            store.write(held.key, b"", held.revision)
+            store.write(stored.key, b"", stored.revision)
             for revision in (0, 3, 4):
-                store.write(held.key, held.value, revision)
+                store.write(stored.key, stored.value, revision)
         if "differently" in afterwards:
             for revision in (0, 2, 3):
-                store.write(make_key("pools", pool), held.value, revision)
+                store.write(make_key("pools", pool), stored.value, revision)
 
     cluster.call(restore)
     cluster.write("pools", "fir", POOL)
@@ -110,8 +110,8 @@
     assert watcher.problem
 
 
-@then('with pool "oak" at revision 5 and pool "elm" deleted at 9 these lists tell:')
-def step_signs(context):
+@then('with pool "oak" at revision 5 and pool "elm" deleted at 9 these listings show:')
+def step_rollback_signs(context):
     known = RecordView()
     known.apply((Entry("oak", b"5", 5),), (Entry("elm", b"", 9),))
     for row in context.table:
@@ -120,8 +120,8 @@
             value = b"other" if words[-1] == "value" else b"5"
             entries.append(Entry(words[0], value, int(words[2])))
         listing = Listing(int(row["revision"]), tuple(entries))
-        sign = find_rollback_evidence(listing, known.take_snapshot())
-        assert bool(sign) == (row["sign"] == "older"), (row, sign)
+        evidence = find_rollback_evidence(listing, known.take_snapshot())
+        assert bool(evidence) == (row["sign"] == "older"), (row, evidence)
 
 
 @then('records daemon "{name:w}" refuses to apply pool "{pool:w}" with "{code:w}"')
--- a/tests/steps/store_steps.py
+++ b/tests/steps/store_steps.py
@@ -22,14 +22,14 @@
 from standins.process import ManagedProcess
 
 TIMEOUT_S = 30.0
-STEP_TIMEOUT_S = 60.0  # ends a call that would hang for good
+STEP_TIMEOUT_S = 60.0  # ends a call that would hang forever
 MAX_ATTEMPTS = 1000
 
-logging.getLogger("httpx").setLevel(logging.WARNING)  # it logs each request at INFO
+logging.getLogger("httpx").setLevel(logging.WARNING)  # httpx logs each request at INFO
 
 
 def run_with_store(context, operation, timeout_s=TIMEOUT_S):
-    """Runs an async function on a store that talks to the stand-in."""
+    """Runs an async function with a client of the platform stand-in."""
 
     async def run():
         with anyio.fail_after(STEP_TIMEOUT_S):
@@ -40,7 +40,7 @@
 
 
 def find_code(context, operation, timeout_s=TIMEOUT_S):
-    """Returns the code of the store error that an operation raises; empty if none."""
+    """Returns the code of the store error that an operation raises; empty if it raises none."""
     try:
         run_with_store(context, operation, timeout_s)
     except StoreError as error:
@@ -49,18 +49,18 @@
 
 
 def write(key, value, expected_revision=ABSENT_REVISION, lease_id=0):
-    """Builds the operation that writes a key."""
+    """Returns an operation that writes a key."""
     return lambda store: store.compare_and_swap(key, value, expected_revision, lease_id=lease_id)
 
 
 def set_switches(context, text):
-    """Merges switches into the stand-in's."""
+    """Sets switches of the stand-in and leaves its other switches unchanged."""
     url = context.platform.url + "/control"
     httpx.put(url, json=json.loads(text), timeout=TIMEOUT_S).raise_for_status()
 
 
 def read_value(context, key):
-    """Reads a key's value; ``None`` if it is absent."""
+    """Returns a key's value; ``None`` if the key is absent."""
     entry = run_with_store(context, lambda store: store.get(key))
     return entry and entry.value.decode()
 
@@ -116,7 +116,7 @@
     run_with_store(context, race)
 
 
-@then('{winners:d} of the store writers won and {losers:d} met "{code}"')
+@then('{winners:d} of the store writers succeeded and {losers:d} failed with "{code}"')
 def step_race_result(context, winners, losers, code):
     assert context.codes.count("") == winners, context.codes
     assert context.codes.count(code) == losers, context.codes
@@ -212,16 +212,16 @@
 
 
 def build_answer(request, fault):
-    """Answers a request, or raises, as a fault says."""
+    """Returns the response that a fault describes, or raises its exception."""
     status, _, text = fault.partition(" ")
     if not status.isdigit():
-        raise getattr(httpx, fault)("as told", request=request)
+        raise getattr(httpx, fault)("simulated fault", request=request)
     content = text if status == "200" else json.dumps({"message": f"etcdserver: {text}"})
     return httpx.Response(int(status), content=content)
 
 
 def replace_transport(caller, handler):
-    """Lets a function answer the requests of a store or a list of VMs."""
+    """Makes a function answer the requests of a client."""
     caller.client = httpx.AsyncClient(transport=httpx.MockTransport(handler))
 
 
@@ -382,7 +382,7 @@
 
 
 def find_watch_error(context, prefix, after_revision):
-    """Returns the code with which a watch is refused."""
+    """Returns the code of the error that a watch raises; empty if it raises none."""
     try:
         run_with_store(
             context, lambda store: store.wait_for_changes(prefix, after_revision, TIMEOUT_S)
--- a/tests/store/etcd.feature
+++ b/tests/store/etcd.feature
@@ -3,7 +3,7 @@
   Scenario: Of racing creators of one key exactly one wins
     Given a platform stand-in
     When 20 writers create the store key "/race" at once
-    Then 1 of the store writers won and 19 met "store_conflict"
+    Then 1 of the store writers succeeded and 19 failed with "store_conflict"
 
   Scenario: Racing read-modify-write loops lose no update
     Given a platform stand-in
@@ -41,7 +41,7 @@
     And the platform switches {"outage": true, "outage_mode": "silent"}
     Then reading "/a" and watching "/" with a timeout of 0.3 s raise "store_unavailable"
 
-  Scenario: Nothing listens
+  Scenario: A call to a stopped service is unavailable
     Given a platform stand-in
     And the platform stand-in is killed
     When "new" is written to the store key "/a"
@@ -52,7 +52,7 @@
     When a value of 1048577 bytes is written to the store key "/a"
     Then the store call raises "store_refused"
 
-  Scenario Outline: What becomes of a write and a read that meet <fault>
+  Scenario Outline: Outcome of a write and a read after <fault>
     Given a store whose gateway answers with <fault>
     Then a store write raises "<write>" and a store read raises "<read>"
 
--- a/tests/support/memory_store.py
+++ b/tests/support/memory_store.py
@@ -1,4 +1,4 @@
-"""A key-value service in memory, with switches for its failures."""
+"""A key-value service in memory whose failures are controlled by the test."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -17,7 +17,7 @@
 
 
 class StoreCompactedError(StoreError):
-    """The changes asked for are no longer kept."""
+    """The requested changes have been compacted."""
 
     code = "store_compacted"
 
@@ -25,12 +25,12 @@
 class MemoryStore:
     """Implements :class:`berylproxy.store.port.Store`.
 
-    :ivar is_out: every call fails.
-    :ivar lost_answers: how many of the next writes take effect without an answer.
-    :ivar lost_writes: how many of the next writes are lost themselves, also without an answer.
-    :ivar spared_key: a key whose writes are not lost.
+    :ivar is_unavailable: whether every call fails.
+    :ivar lost_answers: how many of the next writes take effect but get no answer.
+    :ivar lost_writes: how many of the next writes do not take effect and get no answer.
+    :ivar never_lost_key: a key whose writes and answers are not lost.
     :ivar on_loss: called when a write or an answer is lost.
-    :ivar max_batch_changes: the most changes that one watch returns; 0 for no bound.
+    :ivar max_batch_changes: maximum number of changes that one watch returns; 0 for no limit.
     :ivar calls: number of calls by method.
     """
 
@@ -52,22 +52,25 @@
         self._called = anyio.Event()
 
     def set_outage(self, is_unavailable: bool) -> None:
-        """Starts or ends an outage; watches that wait fail at once."""
+        """Starts or ends an outage; an outage fails waiting watches at once."""
         self.is_unavailable = is_unavailable
         self._notify_watchers()
 
     def compact(self) -> None:
-        """Forgets all past changes; watches that wait fail at once."""
+        """Drops all past changes; waiting watches fail at once."""
         self._compacted_revision = self.revision
         self._log.clear()
         self._notify_watchers()
 
     def make_backup(self) -> tuple[int, dict[str, Entry]]:
-        """Copies the present state."""
+        """Returns a copy of the current state."""
         return self.revision, dict(self._entries)
 
     def restore(self, backup: tuple[int, dict[str, Entry]], *, breaks_watches: bool = True) -> None:
-        """Goes back to an earlier state."""
+        """Restores an earlier state.
+
+        :param breaks_watches: whether waiting watches fail; otherwise they return without changes.
+        """
         self._restore_count += breaks_watches
         self.revision, self._entries = backup[0], dict(backup[1])
         self._log = [entry for entry in self._log if entry.revision <= self.revision]
@@ -133,16 +136,16 @@
         self._check_available()
 
     async def wait_for_calls(self, method: str, count: int) -> None:
-        """Waits until a method has been called so often."""
+        """Waits until a method has been called ``count`` times."""
         while self.calls[method] < count:
             await self._called.wait()
 
     def find(self, key: str) -> Entry | None:
-        """Reads at once, also during an outage."""
+        """Returns an entry without counting a call, also during an outage."""
         return self._entries.get(key)
 
     def count_writes(self, key: str) -> int:
-        """Counts the writes of a key that took effect."""
+        """Returns how many writes of a key took effect."""
         return sum(entry.key == key for entry in self._log)
 
     def _check_available(self) -> None:
@@ -150,13 +153,13 @@
             raise StoreUnavailableError("outage")
 
     def write(self, key: str, value: bytes, expected_revision: int) -> int:
-        """Writes at once; an empty value deletes."""
+        """Writes without counting a call, also during an outage; an empty value deletes."""
         if self.lost_writes and key != self.never_lost_key:
             self.lost_writes -= 1
             raise self._report_loss()
-        held = self._entries.get(key)
-        if (held.revision if held else 0) != expected_revision:
-            raise StoreConflictError("another revision")
+        stored = self._entries.get(key)
+        if (stored.revision if stored else 0) != expected_revision:
+            raise StoreConflictError("the key has another revision")
         self.revision += 1
         entry = Entry(key, value, self.revision)
         if value:
--- a/tests/support/records_world.py
+++ b/tests/support/records_world.py
@@ -1,4 +1,4 @@
-"""Several daemons' records in one event loop, joined by a network in memory."""
+"""The records' part of several daemons in one event loop, connected by a network in memory."""
 
 from collections.abc import Awaitable, Callable
 from contextlib import ExitStack
@@ -61,8 +61,8 @@
 class MemoryNetwork:
     """Implements :class:`berylproxy.peers.membership.PeerNetwork` for one daemon.
 
-    :ivar lost_notifications: how many of the next notifications are lost.
-    :ivar is_cut: whether the daemon sees no others.
+    :ivar lost_notifications: how many of the next notifications are dropped.
+    :ivar is_isolated: whether the daemon sees no other daemons.
     """
 
     def __init__(self, cluster: "RecordsCluster", name: str) -> None:
@@ -97,7 +97,7 @@
 
 
 class RecordsDaemon:
-    """The records' part of one daemon. Its name stands for its incarnation."""
+    """The records' part of one daemon; its name also serves as its incarnation."""
 
     def __init__(self, cluster: "RecordsCluster", name: str) -> None:
         self.name = name
@@ -135,7 +135,10 @@
 
 
 class RecordsCluster:
-    """A store, daemons and the event loop that they run in."""
+    """A store, daemons and the event loop that they run in.
+
+    :ivar wrong_reply: the reply to every request between daemons; ``None`` for the correct one.
+    """
 
     def __init__(self) -> None:
         self.store = MemoryStore()
@@ -149,20 +152,20 @@
         self._tasks: list[tuple[str, Any]] = []
 
     def close(self) -> None:
-        """Stops all that runs."""
+        """Stops all daemons and the event loop."""
         for name in list(self.daemons):
             self.stop_daemon(name)
         self._stack.close()
 
     def stop_daemon(self, name: str) -> None:
-        """Stops a daemon and takes it from the network."""
+        """Stops a daemon and removes it from the network."""
         for owner, task in self._tasks:
             if owner == name:
                 task.cancel()
         del self.daemons[name]
 
     def run(self, function: Callable[..., Awaitable[Any]], *arguments: Any) -> Any:
-        """Runs a coroutine function in the event loop with a bound on its time."""
+        """Runs a coroutine function in the event loop with a timeout."""
 
         async def bounded() -> Any:
             with anyio.fail_after(STEP_TIMEOUT_S):
@@ -171,7 +174,7 @@
         return self._portal.call(bounded)
 
     def add_daemon(self, name: str, *, follows_store: bool = True, replicates: bool = True) -> None:
-        """Starts a daemon, with or without each of its two tasks."""
+        """Adds a daemon and starts its watcher and its replication, unless switched off."""
         self.daemons[name] = self._portal.call(RecordsDaemon, self, name)
         if follows_store:
             self._start(name, self.daemons[name].watcher.run)
@@ -182,14 +185,14 @@
         self._tasks.append((name, self._portal.start_task_soon(function)))
 
     def write(self, kind: str, name: str, raw: Any, expected_revision: int = 0) -> int:
-        """Writes a record into the store past the daemons; ``None`` deletes it."""
+        """Writes a record into the store without a daemon; ``None`` deletes it."""
         key = make_key(kind, name)
         envelope = Envelope("change-of-other", expected_revision, raw)
         value = b"" if raw is None else encode_envelope(envelope)
         return self.call(self.store.write, key, value, expected_revision)
 
     def put(self, daemon: str, kind: str, name: str, raw: Any, expected_revision: int = 0) -> int:
-        """Applies a record as an operator does at one daemon."""
+        """Applies a record at one daemon, as an operator does."""
         editor = self.daemons[daemon].editor
         return self.run(editor.put, kind, name, raw, expected_revision)
 
@@ -210,7 +213,7 @@
 
 
 def attempt(context: Any, function: Callable[..., Any], *arguments: Any) -> None:
-    """Calls a function and keeps its result or its record error."""
+    """Calls a function and stores its result or its record error in the context."""
     context.result = context.error = None
     try:
         context.result = function(*arguments)
