--- a/tests/support/memory_store.py
+++ b/tests/support/memory_store.py
@@ -1,4 +1,4 @@
-"""A key-value service in memory, with switches for its failures."""
+"""A key-value service in memory whose failures are controlled by the test."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -17,7 +17,7 @@
 
 
 class StoreCompactedError(StoreError):
-    """The changes asked for are no longer kept."""
+    """The requested changes have been compacted."""
 
     code = "store_compacted"
 
@@ -25,20 +25,20 @@
 class MemoryStore:
     """Implements :class:`berylproxy.store.port.Store`.
 
-    :ivar is_out: every call fails.
-    :ivar lost_answers: how many of the next writes take effect without an answer.
-    :ivar lost_writes: how many of the next writes are lost themselves, also without an answer.
-    :ivar spared_key: a key whose writes are not lost.
+    :ivar is_unavailable: whether every call fails.
+    :ivar lost_answers: how many of the next writes take effect but get no answer.
+    :ivar lost_writes: how many of the next writes do not take effect and get no answer.
+    :ivar never_lost_key: a key whose writes and answers are not lost.
     :ivar on_loss: called when a write or an answer is lost.
-    :ivar max_batch_changes: the most changes that one watch returns; 0 for no bound.
+    :ivar max_batch_changes: maximum number of changes that one watch returns; 0 for no limit.
     :ivar calls: number of calls by method.
     """
 
     def __init__(self) -> None:
-        self.is_out = False
+        self.is_unavailable = False
         self.lost_answers = 0
         self.lost_writes = 0
-        self.spared_key = ""
+        self.never_lost_key = ""
         self.on_loss: Callable[[], None] = lambda: None
         self.max_batch_changes = 0
         self.calls: Counter[str] = Counter()
@@ -46,32 +46,35 @@
         self._entries: dict[str, Entry] = {}
         self._log: list[Entry] = []  # a deletion has an empty value
         self._compacted_revision = 0
-        self._restorations = 0
+        self._restore_count = 0
         self._leases: dict[int, set[str]] = {}
         self._changed = anyio.Event()
         self._called = anyio.Event()
 
-    def set_outage(self, is_out: bool) -> None:
-        """Starts or ends an outage; watches that wait fail at once."""
-        self.is_out = is_out
-        self._wake()
+    def set_outage(self, is_unavailable: bool) -> None:
+        """Starts or ends an outage; an outage fails waiting watches at once."""
+        self.is_unavailable = is_unavailable
+        self._notify_watchers()
 
     def compact(self) -> None:
-        """Forgets all past changes; watches that wait fail at once."""
+        """Drops all past changes; waiting watches fail at once."""
         self._compacted_revision = self.revision
         self._log.clear()
-        self._wake()
+        self._notify_watchers()
 
     def make_backup(self) -> tuple[int, dict[str, Entry]]:
-        """Copies the present state."""
+        """Returns a copy of the current state."""
         return self.revision, dict(self._entries)
 
     def restore(self, backup: tuple[int, dict[str, Entry]], *, breaks_watches: bool = True) -> None:
-        """Goes back to an earlier state."""
-        self._restorations += breaks_watches
+        """Restores an earlier state.
+
+        :param breaks_watches: whether waiting watches fail; otherwise they return without changes.
+        """
+        self._restore_count += breaks_watches
         self.revision, self._entries = backup[0], dict(backup[1])
         self._log = [entry for entry in self._log if entry.revision <= self.revision]
-        self._wake()
+        self._notify_watchers()
 
     async def get(self, key: str) -> Entry | None:
         self._count("get")
@@ -98,11 +101,11 @@
         self, prefix: str, after_revision: int, wait_s: float
     ) -> ChangeBatch:
         self._count("wait_for_changes")
-        restorations = self._restorations
+        restore_count = self._restore_count
         with anyio.move_on_after(wait_s):
             while after_revision >= self._compacted_revision:
                 self._check_available()
-                if self._restorations != restorations:
+                if self._restore_count != restore_count:
                     raise StoreUnavailableError("restored")
                 if self.revision != after_revision:
                     return self._collect(prefix, after_revision)
@@ -133,30 +136,30 @@
         self._check_available()
 
     async def wait_for_calls(self, method: str, count: int) -> None:
-        """Waits until a method has been called so often."""
+        """Waits until a method has been called ``count`` times."""
         while self.calls[method] < count:
             await self._called.wait()
 
     def find(self, key: str) -> Entry | None:
-        """Reads at once, also during an outage."""
+        """Returns an entry without counting a call, also during an outage."""
         return self._entries.get(key)
 
     def count_writes(self, key: str) -> int:
-        """Counts the writes of a key that took effect."""
+        """Returns how many writes of a key took effect."""
         return sum(entry.key == key for entry in self._log)
 
     def _check_available(self) -> None:
-        if self.is_out:
+        if self.is_unavailable:
             raise StoreUnavailableError("outage")
 
     def write(self, key: str, value: bytes, expected_revision: int) -> int:
-        """Writes at once; an empty value deletes."""
-        if self.lost_writes and key != self.spared_key:
+        """Writes without counting a call, also during an outage; an empty value deletes."""
+        if self.lost_writes and key != self.never_lost_key:
             self.lost_writes -= 1
-            raise self._lose()
-        held = self._entries.get(key)
-        if (held.revision if held else 0) != expected_revision:
-            raise StoreConflictError("another revision")
+            raise self._report_loss()
+        stored = self._entries.get(key)
+        if (stored.revision if stored else 0) != expected_revision:
+            raise StoreConflictError("the key has another revision")
         self.revision += 1
         entry = Entry(key, value, self.revision)
         if value:
@@ -164,13 +167,13 @@
         else:
             del self._entries[key]
         self._log.append(entry)
-        self._wake()
-        if self.lost_answers and key != self.spared_key:
+        self._notify_watchers()
+        if self.lost_answers and key != self.never_lost_key:
             self.lost_answers -= 1
-            raise self._lose()
+            raise self._report_loss()
         return self.revision
 
-    def _lose(self) -> StoreOutcomeUnknownError:
+    def _report_loss(self) -> StoreOutcomeUnknownError:
         self.on_loss()
         return StoreOutcomeUnknownError("no answer")
 
@@ -185,6 +188,6 @@
         deletions = tuple(entry for entry in last.values() if not entry.value)
         return ChangeBatch(revision, updates, deletions)
 
-    def _wake(self) -> None:
+    def _notify_watchers(self) -> None:
         self._changed.set()
         self._changed = anyio.Event()
