--- a/berylproxy/admit/__init__.py
+++ b/berylproxy/admit/__init__.py
@@ -1,1 +1,1 @@
-"""Checks what callers and operators send before anything is kept of it."""
+"""Admission: authorizes and validates calls of callers and operators before they are processed."""
--- a/berylproxy/admit/answers.py
+++ b/berylproxy/admit/answers.py
@@ -1,4 +1,4 @@
-"""Answers to callers: one JSON form and one HTTP status for each outcome."""
+"""HTTP responses to callers: one JSON format, with an HTTP status for each outcome and code."""
 
 import json
 from math import ceil
@@ -64,7 +64,7 @@
 
 
 def make_job_response(state: JobState) -> Response:
-    """Answers with a job's state."""
+    """Makes the response that describes a job's state, with its answer if it has ended."""
     answer = state.answer
     if answer is None:
         content = {"id": state.job_id, "state": "running", "outcome": None}
@@ -80,12 +80,12 @@
         "results": [_describe_result(result) for result in answer.results],
     }
     return make_json_response(
-        content, _choose_status(answer.outcome, answer.code), _headers(answer)
+        content, _choose_status_code(answer.outcome, answer.code), _make_headers(answer)
     )
 
 
 def make_request_response(state: JobState) -> Response:
-    """Answers a single request: with the endpoint's own answer if it is done."""
+    """Makes the response to a single request: the endpoint's own answer if the request is done."""
     answer = state.answer
     if answer is None or answer.outcome is not Outcome.DONE:
         return make_job_response(state)
@@ -99,18 +99,18 @@
 
 
 def make_error_response(error: BerylproxyError) -> Response:
-    """Answers a call that names no job with an error."""
+    """Makes the error response to a call that names no job."""
     status = error.status if isinstance(error, AdmitError) else STATUS_OF_OUTCOME[Outcome.NOT_RUN]
     return _make_error(error, Outcome.NOT_RUN, status)
 
 
 async def answer_http_error(request: Request, error: HTTPException) -> Response:
-    """Answers a call that no route takes."""
+    """Handles a call that matches no route."""
     if error.status_code == STATUS_NOT_FOUND:
         refusal: AdmitError = PathUnknownError("no such path", hint="see docs/api.md")
     else:
         refusal = MethodNotAllowedError(
-            f"the path does not take {request.method}", hint="see docs/api.md"
+            f"the path does not allow {request.method}", hint="see docs/api.md"
         )
     response = make_error_response(refusal)
     response.headers.update(error.headers or {})
@@ -118,10 +118,12 @@
 
 
 async def answer_internal_error(request: Request, error: Exception) -> Response:
-    """Answers a call that met a fault of the daemon, and logs it."""
+    """Handles a call that failed with an unexpected exception, and logs the exception."""
     logger.error("{} {}: internal error", request.method, request.url.path, exc_info=error)
-    told = BerylproxyError("internal error: tasks may have run", hint="see the daemon's log")
-    return _make_error(told, Outcome.UNKNOWN, STATUS_INTERNAL_ERROR)
+    response_error = BerylproxyError(
+        "internal error: tasks may have run", hint="see the daemon's log"
+    )
+    return _make_error(response_error, Outcome.UNKNOWN, STATUS_INTERNAL_ERROR)
 
 
 def _make_error(error: BerylproxyError, outcome: Outcome, status: int) -> Response:
@@ -132,16 +134,16 @@
         "hint": error.hint,
         "retry_after_s": error.retry_after_s,
     }
-    return make_json_response(content, status, _headers(make_refusal("", error, outcome)))
+    return make_json_response(content, status, _make_headers(make_refusal("", error, outcome)))
 
 
-def _choose_status(outcome: Outcome, code: str) -> int:
+def _choose_status_code(outcome: Outcome, code: str) -> int:
     if outcome in (Outcome.NOT_RUN, Outcome.UNKNOWN):
         return STATUS_OF_CODE.get(code, STATUS_OF_OUTCOME[outcome])
     return STATUS_OF_OUTCOME[outcome]
 
 
-def _headers(answer: JobAnswer) -> dict[str, str]:
+def _make_headers(answer: JobAnswer) -> dict[str, str]:
     headers = {OUTCOME_HEADER: answer.outcome.value}
     if answer.code:
         headers[CODE_HEADER] = answer.code
--- a/berylproxy/admit/api.py
+++ b/berylproxy/admit/api.py
@@ -1,4 +1,4 @@
-"""The callers' HTTP interface."""
+"""HTTP API for callers."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import replace
@@ -45,18 +45,19 @@
 
 NOT_READY_RETRY_AFTER_S = 1.0
 SINGLE_TASK_ID = "request"
-SERVICE_TIMEOUT = 0.0  # leaves the timeout to the service's record
-BOOLEANS = {"true": True, "false": False}
+SERVICE_DEFAULT_TIMEOUT_S = 0.0  # stands for the timeout in the service's record
+BOOLEAN_VALUES = {"true": True, "false": False}
 
 Handler = Callable[[Request], Awaitable[Response]]
 
 
 class CallerApi:
-    """Checks what callers send and hands it to the job router.
+    """Validates callers' requests and passes them to the job router.
 
-    :param configuration: gives the configuration in force.
-    :param is_accepting: tells whether new work is taken, which a stopping daemon does for a while.
-    :param identifier_validity_s: how long a minted identifier may be used first.
+    :param configuration: returns the configuration in force.
+    :param is_accepting: returns whether new work is accepted; a stopping daemon accepts work for a
+        while.
+    :param identifier_validity_s: time within which a minted identifier must be used first.
     """
 
     def __init__(
@@ -74,27 +75,31 @@
         self._identifier_validity_s = identifier_validity_s
 
     def routes(self) -> list[Route]:
-        """Makes the routes."""
+        """Returns the routes of this API."""
         job_path = "/v1/jobs/{job_id}"
         return [
-            Route("/v1/job-ids", _guard(self.mint), methods=["POST"]),
-            Route("/v1/jobs", _guard(self.submit), methods=["POST"]),
-            Route(job_path, _guard(self.fetch), methods=["GET"]),
-            Route(job_path, _guard(self.cancel), methods=["DELETE"]),
-            Route("/v1/services/{service}/requests", _guard(self.request), methods=["POST"]),
+            Route("/v1/job-ids", _with_error_responses(self.mint), methods=["POST"]),
+            Route("/v1/jobs", _with_error_responses(self.submit), methods=["POST"]),
+            Route(job_path, _with_error_responses(self.fetch), methods=["GET"]),
+            Route(job_path, _with_error_responses(self.cancel), methods=["DELETE"]),
+            Route(
+                "/v1/services/{service}/requests",
+                _with_error_responses(self.request),
+                methods=["POST"],
+            ),
         ]
 
     async def mint(self, request: Request) -> Response:
-        """Mints identifiers."""
+        """Mints identifiers for later submissions."""
         team = authorize_team(request, self._configuration())
         self._check_accepting()
         body = await _read_body(request)
-        asked = parse_body(IdentifierRequestSchema, body or b"{}")
-        ids = self._router.mint(asked.count, team)
+        identifier_request = parse_body(IdentifierRequestSchema, body or b"{}")
+        ids = self._router.mint(identifier_request.count, team)
         return make_json_response({"ids": ids, "valid_for_s": self._identifier_validity_s})
 
     async def submit(self, request: Request) -> Response:
-        """Submits a job and answers with its state."""
+        """Submits a job; responds when the job has ended or the requested wait has passed."""
         schema = parse_body(SubmissionSchema, await _read_body(request))
         submission = Submission(
             schema.id or "",
@@ -102,7 +107,7 @@
             "",
             schema.service,
             tuple(task.to_task() for task in schema.tasks),
-            schema.timeout_s or SERVICE_TIMEOUT,
+            schema.timeout_s or SERVICE_DEFAULT_TIMEOUT_S,
             schema.repeatable,
             request.headers.get(TRACEPARENT_HEADER, ""),
         )
@@ -110,7 +115,7 @@
         return make_job_response(await self._submit(request, submission, wait_s))
 
     async def request(self, request: Request) -> Response:
-        """Serves a single request."""
+        """Handles a single request, which is submitted as a job with one task."""
         content_type = request.headers.get("content-type", JSON_CONTENT_TYPE)
         task = Task(SINGLE_TASK_ID, await _read_body(request), content_type, {})
         job_id = request.headers.get(REQUEST_ID_HEADER, "")
@@ -127,45 +132,50 @@
         return make_request_response(await self._submit(request, submission, MAX_TIMEOUT_S))
 
     async def fetch(self, request: Request) -> Response:
-        """Answers with a job's state."""
+        """Responds with a job's state, after waiting for its end for up to ``wait_s``."""
         team = authorize_team(request, self._configuration())
         wait_s = _parse_seconds(request.query_params.get("wait_s", "0"), "wait_s")
         state = await self._router.fetch(request.path_params["job_id"], team, wait_s)
         return make_job_response(state)
 
     async def cancel(self, request: Request) -> Response:
-        """Cancels a job."""
+        """Cancels a job and responds with its state."""
         team = authorize_team(request, self._configuration())
         return make_job_response(await self._router.cancel(request.path_params["job_id"], team))
 
     async def _submit(self, request: Request, submission: Submission, wait_s: float) -> JobState:
-        is_named = bool(submission.job_id or submission.idempotency_key)
+        is_identified = bool(submission.job_id or submission.idempotency_key)
         try:
             team = authorize_team(request, self._configuration())
-            job_id = submission.job_id if is_named else self._mint_one(team)
+            job_id = submission.job_id if is_identified else self._mint_identifier(team)
         except AdmitError as error:
-            # Under a name of the caller's it may be running: not for this daemon to say.
-            outcome = Outcome.UNKNOWN if is_named else Outcome.NOT_RUN
+            # An earlier submission with the caller's identifier or key may be running, so that
+            # this daemon can't state that the work has not run.
+            outcome = Outcome.UNKNOWN if is_identified else Outcome.NOT_RUN
             return JobState(submission.job_id, make_refusal(submission.job_id, error, outcome))
         attributes = {"job_id": job_id, "tasks": len(submission.tasks)}
         with self._tracer.span("admit", submission.traceparent, **attributes) as span:
-            traced = replace(submission, job_id=job_id, team=team, traceparent=span.traceparent)
-            return await self._router.submit(traced, wait_s)
+            traced_submission = replace(
+                submission, job_id=job_id, team=team, traceparent=span.traceparent
+            )
+            return await self._router.submit(traced_submission, wait_s)
 
-    def _mint_one(self, team: str) -> str:
+    def _mint_identifier(self, team: str) -> str:
         self._check_accepting()
         return self._router.mint(1, team)[0]
 
     def _check_accepting(self) -> None:
         if not self._is_accepting():
             raise NotReadyError(
-                "this daemon takes no new work now",
-                hint="ask another daemon",
+                "this daemon accepts no new work at present",
+                hint="try another daemon",
                 retry_after_s=NOT_READY_RETRY_AFTER_S,
             )
 
 
-def _guard(handler: Handler) -> Handler:
+def _with_error_responses(handler: Handler) -> Handler:
+    """Wraps a handler so that its errors become error responses."""
+
     async def handle(request: Request) -> Response:
         try:
             return await handler(request)
@@ -183,7 +193,7 @@
             if len(chunks) > MAX_SUBMISSION_BYTES:
                 raise BodyTooLargeError(f"the body is larger than {MAX_SUBMISSION_BYTES} bytes")
     except ClientDisconnect as error:
-        raise HeaderInvalidError("the body was cut short") from error
+        raise HeaderInvalidError("the connection was closed within the body") from error
     return bytes(chunks)
 
 
@@ -194,20 +204,20 @@
             f"{IDEMPOTENCY_KEY_HEADER} has more than {MAX_IDEMPOTENCY_KEY_CHARACTERS} characters"
         )
     if key and job_id:
-        raise HeaderInvalidError(f"{IDEMPOTENCY_KEY_HEADER} and an id don't go together")
+        raise HeaderInvalidError(f"{IDEMPOTENCY_KEY_HEADER} and an id can't be combined")
     return key
 
 
 def _read_repeatable(request: Request) -> bool:
     text = request.headers.get(REPEATABLE_HEADER, "false").lower()
-    if text not in BOOLEANS:
+    if text not in BOOLEAN_VALUES:
         raise HeaderInvalidError(f"{REPEATABLE_HEADER} must be true or false")
-    return BOOLEANS[text]
+    return BOOLEAN_VALUES[text]
 
 
 def _read_timeout_s(request: Request) -> float:
     text = request.headers.get(TIMEOUT_HEADER)
-    return SERVICE_TIMEOUT if text is None else _parse_seconds(text, TIMEOUT_HEADER)
+    return SERVICE_DEFAULT_TIMEOUT_S if text is None else _parse_seconds(text, TIMEOUT_HEADER)
 
 
 def _parse_seconds(text: str, name: str) -> float:
--- a/berylproxy/admit/errors.py
+++ b/berylproxy/admit/errors.py
@@ -1,12 +1,12 @@
-"""Refusals at the border. Nothing has run."""
+"""Errors of calls that are refused at admission: no task has started."""
 
 from berylproxy.errors import BerylproxyError
 
 
 class AdmitError(BerylproxyError):
-    """Base of this layer's errors.
+    """Base of the admission errors.
 
-    :cvar status: the HTTP status that goes with it.
+    :cvar status: HTTP status of the response.
     """
 
     code = "admit_error"
@@ -20,14 +20,14 @@
 
 
 class SubmissionInvalidError(AdmitError):
-    """A field of the submission breaks a rule."""
+    """A field of the submission is invalid."""
 
     code = "submission_invalid"
     status = 422
 
 
 class HeaderInvalidError(AdmitError):
-    """A header can't be understood."""
+    """A header or query parameter is invalid, or the body is incomplete."""
 
     code = "header_invalid"
 
@@ -40,7 +40,7 @@
 
 
 class TeamUnknownError(AdmitError):
-    """No record of the team is in force here."""
+    """This daemon's configuration has no such team."""
 
     code = "team_unknown"
     status = 403
@@ -61,21 +61,21 @@
 
 
 class PathUnknownError(AdmitError):
-    """There is no such path."""
+    """The API has no such path."""
 
     code = "path_unknown"
     status = 404
 
 
 class MethodNotAllowedError(AdmitError):
-    """The path has no such method."""
+    """The path does not allow the method."""
 
     code = "method_not_allowed"
     status = 405
 
 
 class NotReadyError(AdmitError):
-    """The daemon has no configuration yet, or is leaving."""
+    """The daemon accepts no new work: it has no configuration yet or is stopping."""
 
     code = "not_ready"
     status = 503
--- a/berylproxy/admit/schemas.py
+++ b/berylproxy/admit/schemas.py
@@ -1,4 +1,4 @@
-"""Checked models of what callers send."""
+"""Models that validate callers' request bodies."""
 
 import json
 from typing import Annotated, Any, TypeVar
@@ -14,7 +14,7 @@
 from berylproxy.models import Task
 
 MAX_TIMEOUT_S = 600.0
-MAX_NEED = 2**63 - 1  # the largest integer that messages between daemons carry
+MAX_RESOURCE_AMOUNT = 2**63 - 1  # the largest integer that messages between daemons can encode
 
 Schema = TypeVar("Schema", bound=BaseModel)
 
@@ -30,17 +30,17 @@
 
     id: TaskId
     payload: Any = None
-    needs: dict[ResourceName, Annotated[int, Field(ge=0, le=MAX_NEED)]] = {}
+    needs: dict[ResourceName, Annotated[int, Field(ge=0, le=MAX_RESOURCE_AMOUNT)]] = {}
 
     def to_task(self) -> Task:
-        """Makes the task as the pipeline knows it."""
+        """Converts the task to the pipeline's model; resources with amount 0 are left out."""
         body = json.dumps(self.payload, separators=(",", ":")).encode()
         needs = {name: amount for name, amount in self.needs.items() if amount}
         return Task(self.id, body, JSON_CONTENT_TYPE, needs)
 
 
 class SubmissionSchema(BaseModel):
-    """A job as callers write it."""
+    """Body of a job's submission."""
 
     model_config = ConfigDict(extra="forbid")
 
@@ -53,40 +53,43 @@
 
     @model_validator(mode="after")
     def check_task_ids(self) -> "SubmissionSchema":
-        """Refuses two tasks with the same identifier."""
+        """Rejects a job with two tasks of the same identifier."""
         if len({task.id for task in self.tasks}) != len(self.tasks):
             raise ValueError("tasks: two tasks have the same id")
         return self
 
 
 class IdentifierRequestSchema(BaseModel):
-    """How many identifiers are asked for."""
+    """Body of a request for identifiers.
+
+    :param count: number of identifiers to mint.
+    """
 
     model_config = ConfigDict(extra="forbid")
 
     count: Annotated[int, Field(ge=1, le=MAX_IDENTIFIERS_PER_CALL)] = 1
 
 
-def _refuse_constant(name: str) -> None:
+def _reject_constant(name: str) -> None:
     raise ValueError(f"{name} is not a JSON value")
 
 
 def parse_body(schema: type[Schema], body: bytes) -> Schema:
-    """Parses and checks a JSON body.
+    """Parses and validates a JSON body.
 
-    :raises JsonMalformedError: if it is not JSON.
-    :raises SubmissionInvalidError: if a field breaks a rule; the message names the field.
+    :raises JsonMalformedError: if the body is not JSON.
+    :raises SubmissionInvalidError: if a field is invalid; the message names the field.
     """
     try:
-        value = json.loads(body, parse_constant=_refuse_constant)
+        value = json.loads(body, parse_constant=_reject_constant)
     except (ValueError, RecursionError) as error:
         raise JsonMalformedError(
-            f"the body is not JSON: {error}", hint="send a JSON object"
+            f"the body is not valid JSON: {error}", hint="send a JSON object"
         ) from error
     try:
         return schema.model_validate(value)
     except ValidationError as error:
-        first = error.errors(include_url=False, include_input=False)[0]
-        field = ".".join(str(part) for part in first["loc"])
-        text = f"{field}: {first['msg']}" if field else first["msg"]
+        first_error = error.errors(include_url=False, include_input=False)[0]
+        field = ".".join(str(part) for part in first_error["loc"])
+        text = f"{field}: {first_error['msg']}" if field else first_error["msg"]
         raise SubmissionInvalidError(text, hint="see docs/api.md") from error
--- a/berylproxy/cli/__init__.py
+++ b/berylproxy/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The program berylctl."""
+"""The command-line program berylctl."""
--- a/berylproxy/cli/__main__.py
+++ b/berylproxy/cli/__main__.py
@@ -7,7 +7,7 @@
 
 
 def run() -> None:
-    """Runs berylctl with this process's arguments, streams and variables."""
+    """Runs berylctl with this process's arguments, standard streams and environment variables."""
     sys.exit(main(sys.argv[1:], Environment.from_process()))
 
 
--- a/berylproxy/cli/context.py
+++ b/berylproxy/cli/context.py
@@ -1,4 +1,4 @@
-"""What every command of berylctl works with."""
+"""Settings and streams that all commands of berylctl share."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -19,10 +19,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Context:
-    """Checked settings, and the streams to work with.
+    """Validated settings of one invocation, and its streams.
 
-    :param base_urls: the daemons, in order of preference.
-    :param team: the submitting team.
+    :param base_urls: base URLs of the daemons, in order of preference.
+    :param team: name of the submitting team.
     :param token: the team's or operator's token; may be empty.
     """
 
@@ -33,18 +33,18 @@
     printer: Printer
 
     def open_client(self) -> Client:
-        """Opens a callers' client."""
+        """Creates a client for callers."""
         return Client(self.base_urls, team=self.team, token=self.token)
 
     def open_operator_client(self) -> OperatorClient:
-        """Opens an operators' client."""
+        """Creates a client for operators."""
         return OperatorClient(self.base_urls, token=self.token)
 
 
 def make_context(arguments: Arguments, environment: Environment) -> Context:
-    """Takes settings from the arguments first and from environment variables second.
+    """Reads the settings; arguments take precedence over environment variables.
 
-    :raises SettingsError: if one cannot be used.
+    :raises SettingsError: if a setting is invalid.
     """
     variables = environment.variables
     team = arguments.team or variables.get(TEAM_VARIABLE, DEFAULT_TEAM)
@@ -52,7 +52,7 @@
     _check_header_value(team, f"the team in --team or {TEAM_VARIABLE}")
     _check_header_value(token, f"the token in {TOKEN_VARIABLE}")
     return Context(
-        base_urls=_choose_urls(arguments.url, variables),
+        base_urls=_resolve_base_urls(arguments.url, variables),
         team=team,
         token=token,
         environment=environment,
@@ -60,11 +60,13 @@
     )
 
 
-def _choose_urls(given: list[str], variables: Mapping[str, str]) -> tuple[str, ...]:
-    listed = given or variables.get(URL_VARIABLE, DEFAULT_URL).split(",")
-    urls = tuple(url.strip() for url in listed if url.strip())
+def _resolve_base_urls(url_arguments: list[str], variables: Mapping[str, str]) -> tuple[str, ...]:
+    raw_urls = url_arguments or variables.get(URL_VARIABLE, DEFAULT_URL).split(",")
+    urls = tuple(url.strip() for url in raw_urls if url.strip())
     if not urls:
-        raise SettingsError(f"{URL_VARIABLE} names no daemon", hint=f"such as {DEFAULT_URL}")
+        raise SettingsError(
+            f"{URL_VARIABLE} contains no URL", hint=f"set it to {DEFAULT_URL}, for example"
+        )
     for url in urls:
         _check_url(url)
     return urls
@@ -73,15 +75,16 @@
 def _check_url(url: str) -> None:
     try:
         parts = urlsplit(url)
-        usable = parts.scheme in ("http", "https") and bool(parts.hostname) and parts.port != 0
+        is_valid = parts.scheme in ("http", "https") and bool(parts.hostname) and parts.port != 0
     except ValueError:
-        usable = False
-    if not usable:
+        is_valid = False
+    if not is_valid:
         raise SettingsError(
-            f"{url!r} is not a daemon's base URL", hint=f"--url or {URL_VARIABLE}: {DEFAULT_URL}"
+            f"{url!r} is not a valid base URL of a daemon",
+            hint=f"set --url or {URL_VARIABLE} to {DEFAULT_URL}, for example",
         )
 
 
-def _check_header_value(value: str, what: str) -> None:
+def _check_header_value(value: str, description: str) -> None:
     if not (value.isascii() and value.isprintable()):
-        raise SettingsError(f"{what} has characters that are not printable ASCII")
+        raise SettingsError(f"{description} contains characters that are not printable ASCII")
--- a/berylproxy/cli/core.py
+++ b/berylproxy/cli/core.py
@@ -1,4 +1,4 @@
-"""Runs berylctl: arguments in, exit status out."""
+"""Parses berylctl's arguments, runs the command and returns the exit status."""
 
 from collections.abc import Awaitable, Callable, Sequence
 from io import StringIO
@@ -59,16 +59,16 @@
 
 
 class InterruptedByUserError(CommandError):
-    """The user stopped the command."""
+    """The user interrupted the command."""
 
     code = "interrupted"
 
 
 def main(args: Sequence[str], env: Environment) -> ExitStatus:
-    """Runs one command.
+    """Runs one command and returns its exit status.
 
-    :param args: the arguments without the program's name.
-    :param env: the streams and variables to use.
+    :param args: command-line arguments without the program's name.
+    :param env: standard streams and environment variables to use.
     """
     try:
         arguments = parse_arguments(args, env)
@@ -80,18 +80,19 @@
         env.stderr.write(format_error(error) + "\n")
         return choose_exit_status(error)
     except KeyboardInterrupt:
-        error = InterruptedByUserError("stopped; what was submitted may still run")
+        error = InterruptedByUserError("interrupted; submitted work may still be running")
         env.stderr.write(format_error(error) + "\n")
         return ExitStatus.INTERRUPTED
 
 
 def parse_arguments(args: Sequence[str], env: Environment) -> Arguments | None:
-    """Parses the arguments; ``None`` if they asked for help or the version, which is printed.
+    """Parses the arguments; returns ``None`` after printing the help or the version.
 
-    :raises UsageError: if they are wrong.
+    :raises UsageError: if the arguments are invalid.
     """
     console = Console(file=env.stdout, force_terminal=env.stdout_is_terminal)
-    # Cappa prints its errors on several lines; they are reported here in the program's own form.
+    # Cappa prints its errors on several lines. They are discarded here, and reported on one line
+    # like all other errors of berylctl.
     output = cappa.Output(output_console=console, error_console=Console(file=StringIO()))
     try:
         return cappa.parse(
@@ -100,11 +101,11 @@
     except cappa.Exit as error:
         if error.code == ExitStatus.SUCCESS:
             return None
-        raise UsageError(_describe(error), hint="berylctl --help") from error
+        raise UsageError(_describe_usage_error(error), hint="berylctl --help") from error
 
 
-def _describe(error: cappa.Exit) -> str:
+def _describe_usage_error(error: cappa.Exit) -> str:
     message = str(error.message)
     if message.startswith("A command is required"):
-        return "a command is required"  # the list that follows is that of --help
+        return "a command is required"  # leaves out the list of commands, which --help prints
     return message
--- a/berylproxy/cli/definition.py
+++ b/berylproxy/cli/definition.py
@@ -1,4 +1,4 @@
-"""The arguments of berylctl."""
+"""Definition of berylctl's commands and arguments."""
 
 from dataclasses import dataclass, field
 from enum import StrEnum
@@ -9,9 +9,9 @@
 
 
 class OutputFormat(StrEnum):
-    """How a command prints what it found."""
+    """Format in which a command prints its result."""
 
-    AUTO = "auto"  # table on a terminal, else JSON
+    AUTO = "auto"  # a table on a terminal, JSON otherwise
     JSON = "json"
     TABLE = "table"
 
@@ -21,21 +21,26 @@
 class SubmitCommand:
     """Arguments of ``berylctl submit``.
 
-    :param file: JSON file with ``{"service", "tasks"}``, the body of a submission.
+    :param file: JSON file with the fields ``service`` and ``tasks`` of a submission's body.
     """
 
     file: Annotated[
-        Path | None, Arg(help="JSON file of the job, - for standard input", default=None)
+        Path | None, Arg(help="JSON file of the job; - for standard input", default=None)
     ]
     service: Annotated[str, Arg(long=True, help="Service, if the file does not name it")] = ""
-    count: Annotated[int, Arg(long=True, help="Make so many tasks instead of reading a file")] = 0
-    run_time_s: Annotated[str, Arg(long=True, help="Run time of the made tasks, as FROM:TO")] = (
-        "0.05:1"
+    count: Annotated[
+        int, Arg(long=True, help="Generate this many tasks instead of reading a file")
+    ] = 0
+    run_time_s: Annotated[
+        str, Arg(long=True, help="Run time of generated tasks in seconds, as FROM:TO")
+    ] = "0.05:1"
+    seed: Annotated[int, Arg(long=True, help="Random seed of the generated tasks' run times")] = 0
+    timeout_s: Annotated[float, Arg(long=True, help="Abandon the job after this many seconds")] = (
+        30.0
     )
-    seed: Annotated[int, Arg(long=True, help="Seed of the made tasks' run times")] = 0
-    timeout_s: Annotated[float, Arg(long=True, help="Give the job up after so long")] = 30.0
     wait_s: Annotated[
-        float | None, Arg(long=True, help="Wait at most so long; by default until the answer")
+        float | None,
+        Arg(long=True, help="Wait at most this many seconds; by default until the job ends"),
     ] = None
     repeatable: Annotated[bool, Arg(long=True, help="Tasks may run again after a failure")] = False
     id: Annotated[str, Arg(long=True, help="Attach to an earlier submission of the same job")] = ""
@@ -46,12 +51,16 @@
 class RequestCommand:
     """Arguments of ``berylctl request``."""
 
-    service: Annotated[str, Arg(help="Service that answers it")]
-    file: Annotated[Path | None, Arg(help="File with the body, - for standard input", default=None)]
-    timeout_s: Annotated[float, Arg(long=True, help="Give it up after so long")] = 30.0
-    repeatable: Annotated[bool, Arg(long=True, help="It may run more than once")] = False
+    service: Annotated[str, Arg(help="Service that handles the request")]
+    file: Annotated[Path | None, Arg(help="File with the body; - for standard input", default=None)]
+    timeout_s: Annotated[
+        float, Arg(long=True, help="Abandon the request after this many seconds")
+    ] = 30.0
+    repeatable: Annotated[bool, Arg(long=True, help="The request may run more than once")] = False
     content_type: Annotated[str, Arg(long=True, help="Media type of the body")] = "application/json"
-    id: Annotated[str, Arg(long=True, help="Attach to an earlier sending of it")] = ""
+    id: Annotated[
+        str, Arg(long=True, help="Attach to an earlier submission of the same request")
+    ] = ""
 
 
 @command(name="status", help="Show a job")
@@ -60,7 +69,9 @@
     """Arguments of ``berylctl status``."""
 
     job: Annotated[str, Arg(help="Identifier of the job")]
-    wait_s: Annotated[float, Arg(long=True, help="Wait at most so long for the answer")] = 0.0
+    wait_s: Annotated[
+        float, Arg(long=True, help="Wait at most this many seconds for the answer")
+    ] = 0.0
 
 
 @command(name="cancel", help="Cancel a job")
@@ -77,11 +88,12 @@
     """Arguments of ``berylctl apply``."""
 
     files: Annotated[
-        list[Path], Arg(num_args=-1, required=True, help="JSON files of records, - for input")
+        list[Path],
+        Arg(num_args=-1, required=True, help="JSON files of records; - for standard input"),
     ]
     expect_revision: Annotated[
         int | None,
-        Arg(long=True, help="Revision that the one record must have, 0 if it must not exist"),
+        Arg(long=True, help="Revision that a single record must have; 0 if it must not exist"),
     ] = None
 
 
@@ -121,7 +133,7 @@
 
     files: Annotated[list[Path], Arg(num_args=-1, required=True, help="JSON files of records")]
     online: Annotated[
-        bool, Arg(long=True, help="Let a daemon check them against the records in force, too")
+        bool, Arg(long=True, help="Also let a daemon check them against the records in force")
     ] = False
 
 
@@ -131,7 +143,7 @@
     """Arguments of ``berylctl daemon status``."""
 
 
-@command(name="daemon", help="Look at a daemon")
+@command(name="daemon", help="Inspect a daemon")
 @dataclass
 class DaemonCommand:
     """Arguments of ``berylctl daemon``."""
@@ -139,7 +151,7 @@
     command: Subcommands[DaemonStatusCommand]
 
 
-@command(name="usage", help="Add up finished work by who is billed")
+@command(name="usage", help="Show totals of finished work by billed party")
 @dataclass
 class UsageCommand:
     """Arguments of ``berylctl usage``."""
@@ -147,15 +159,15 @@
 
 @command(
     name="explain",
-    help="Tell a request's story from log lines",
-    description="Needs no daemon: reads the log lines of all daemons that could be collected.",
+    help="Show the history of a job or request from log lines",
+    description="Contacts no daemon: reads collected log lines, ideally those of all daemons.",
 )
 @dataclass
 class ExplainCommand:
     """Arguments of ``berylctl explain``."""
 
     job: Annotated[str, Arg(help="Identifier of the job or request")]
-    files: Annotated[list[Path], Arg(num_args=-1, help="Log files; by default standard input")] = (
+    files: Annotated[list[Path], Arg(num_args=-1, help="Log files; standard input by default")] = (
         field(default_factory=list)
     )
 
@@ -195,5 +207,5 @@
     ] = ""
     output: Annotated[
         OutputFormat,
-        Arg(long=True, propagate=True, help="Auto is table on a terminal, else json"),
+        Arg(long=True, propagate=True, help="Auto is table on a terminal and json otherwise"),
     ] = OutputFormat.AUTO
--- a/berylproxy/cli/errors.py
+++ b/berylproxy/cli/errors.py
@@ -1,4 +1,4 @@
-"""Errors of berylctl and the exit status of each error that may reach it."""
+"""Errors of berylctl, and the exit status for each error that it can report."""
 
 from berylproxy.client.errors import (
     AnswerLostError,
@@ -27,30 +27,30 @@
 
 
 class SettingsError(CommandError):
-    """An address, team or token cannot be used."""
+    """A URL, team or token in the settings is invalid."""
 
     code = "settings_invalid"
 
 
 class FileError(CommandError):
-    """A file cannot be read or is not what the command needs."""
+    """A file cannot be read or does not have the expected content."""
 
     code = "file_invalid"
 
 
 class JobNotLoggedError(CommandError):
-    """No log line names the job."""
+    """No log line mentions the job."""
 
     code = "job_not_logged"
 
 
 class StillRunningError(CommandError):
-    """The wait is over and the job is not finished."""
+    """The job had not ended when the wait timed out."""
 
     code = "still_running"
 
 
-# The first class that an error is an instance of decides.
+# The first matching class decides, so that subclasses stand before their base classes.
 EXIT_STATUSES: tuple[tuple[type[BerylproxyError], ExitStatus], ...] = (
     (UsageError, ExitStatus.USAGE_ERROR),
     (FileError, ExitStatus.USAGE_ERROR),
@@ -69,7 +69,7 @@
 
 
 def choose_exit_status(error: BerylproxyError) -> ExitStatus:
-    """Chooses the exit status of an error."""
+    """Returns the exit status for an error."""
     for error_type, status in EXIT_STATUSES:
         if isinstance(error, error_type):
             return status
@@ -82,5 +82,5 @@
     if error.hint:
         parts.append(error.hint)
     if error.retry_after_s is not None:
-        parts.append(f"come back in {error.retry_after_s:g} s")
+        parts.append(f"retry in {error.retry_after_s:g} s")
     return " ".join(f"berylctl: {error.code}: {'; '.join(parts)}".split())
--- a/berylproxy/cli/jobs.py
+++ b/berylproxy/cli/jobs.py
@@ -1,4 +1,4 @@
-"""The commands of callers."""
+"""The commands for callers: submit, request, status and cancel."""
 
 from dataclasses import asdict
 from typing import Any
@@ -6,7 +6,7 @@
 from berylproxy.cli.context import Context
 from berylproxy.cli.definition import CancelCommand, RequestCommand, StatusCommand, SubmitCommand
 from berylproxy.cli.errors import StillRunningError, UsageError
-from berylproxy.cli.inputs import check_duration, make_tasks, read_input, read_job
+from berylproxy.cli.inputs import check_duration, generate_tasks, read_input, read_job
 from berylproxy.cli.output import Section
 from berylproxy.client.errors import JobFailedError, NotRunError
 from berylproxy.client.models import JobAnswer, JobState, JobTask
@@ -20,8 +20,8 @@
     """Submits a job and prints its answer."""
     check_duration("--timeout-s", command.timeout_s)
     if command.wait_s is not None:
-        check_duration("--wait-s", command.wait_s, zero_allowed=True)
-    service, tasks = _choose_job(command, context)
+        check_duration("--wait-s", command.wait_s, allow_zero=True)
+    service, tasks = _load_job(command, context)
     async with context.open_client() as client:
         with context.printer.show_progress(f"{len(tasks)} tasks submitted to {service}"):
             answer = await client.submit(
@@ -41,7 +41,7 @@
 
 
 async def run_request(command: RequestCommand, context: Context) -> ExitStatus:
-    """Sends a single request and prints the endpoint's answer as it is."""
+    """Sends a single request and prints the endpoint's answer unchanged."""
     check_duration("--timeout-s", command.timeout_s)
     body = read_input(command.file, context.environment)
     async with context.open_client() as client:
@@ -59,8 +59,8 @@
 
 
 async def run_status(command: StatusCommand, context: Context) -> ExitStatus:
-    """Prints a job's answer or state."""
-    check_duration("--wait-s", command.wait_s, zero_allowed=True)
+    """Prints a job's answer, or its state while it is running."""
+    check_duration("--wait-s", command.wait_s, allow_zero=True)
     async with context.open_client() as client:
         with context.printer.show_progress(f"waiting for job {command.job}"):
             answer = await client.fetch_job(command.job, wait_s=command.wait_s)
@@ -69,7 +69,7 @@
 
 
 async def run_cancel(command: CancelCommand, context: Context) -> ExitStatus:
-    """Cancels a job and prints what became of it."""
+    """Cancels a job and prints its final state."""
     async with context.open_client() as client:
         try:
             answer = await client.cancel(command.job)
@@ -86,19 +86,19 @@
     return ExitStatus.SUCCESS
 
 
-def _choose_job(command: SubmitCommand, context: Context) -> tuple[str, list[JobTask]]:
-    """Makes the tasks or reads them from the file."""
+def _load_job(command: SubmitCommand, context: Context) -> tuple[str, list[JobTask]]:
+    """Returns the service and the tasks, which are generated or read from the file."""
     if command.count:
         if command.file is not None:
-            raise UsageError("--count makes the tasks", hint="give a file or --count, not both")
+            raise UsageError("--count generates the tasks", hint="give a file or --count, not both")
         service = command.service
-        tasks = make_tasks(command.count, command.run_time_s, command.seed)
+        tasks = generate_tasks(command.count, command.run_time_s, command.seed)
     else:
         job = read_job(command.file, context.environment)
         service = command.service or job.service
         tasks = [JobTask(task.id, task.payload, task.needs) for task in job.tasks]
     if not service:
-        raise UsageError("no service is named", hint="give --service")
+        raise UsageError("no service is given", hint="give --service")
     return service, tasks
 
 
--- a/berylproxy/cli/output.py
+++ b/berylproxy/cli/output.py
@@ -1,4 +1,4 @@
-"""Prints what a command found."""
+"""Prints the results of commands as JSON or tables."""
 
 import json
 from collections.abc import Iterator, Sequence
@@ -14,14 +14,14 @@
 from berylproxy.environment import Environment
 
 MAX_CELL_CHARACTERS = 60
-PLAIN_WIDTH_CHARACTERS = 160  # line length where there is no terminal to ask
+NON_TERMINAL_WIDTH_CHARACTERS = 160  # line length if standard output is not a terminal
 
 
 @dataclass(frozen=True, slots=True)
 class Section:
-    """A table below a title; either may be empty.
+    """A table with a title; either may be empty.
 
-    :param rows: the rows as fields by column; the first row to have a column places it.
+    :param rows: values of each row by column. Columns are ordered by their first appearance.
     """
 
     rows: Sequence[dict[str, Any]]
@@ -29,17 +29,24 @@
 
 
 class Printer:
-    """Prints to standard output in the chosen format."""
+    """Prints to standard output in the chosen format.
+
+    :param output: the format; ``AUTO`` chooses it by whether standard output is a terminal.
+    """
 
     def __init__(self, environment: Environment, output: OutputFormat) -> None:
         self._environment = environment
         if output is OutputFormat.AUTO:
-            terminal = environment.stdout_is_terminal
-            output = OutputFormat.TABLE if terminal else OutputFormat.JSON
+            is_terminal = environment.stdout_is_terminal
+            output = OutputFormat.TABLE if is_terminal else OutputFormat.JSON
         self._output = output
 
     def print(self, value: Any, *sections: Section) -> None:
-        """Prints a JSON value, or the sections that show the same as tables."""
+        """Prints a result, either as JSON or as tables.
+
+        :param value: the result as a JSON value.
+        :param sections: the same result as tables.
+        """
         if self._output is OutputFormat.JSON:
             text = json.dumps(value, indent=2, ensure_ascii=False)
             self._environment.stdout.write(text + "\n")
@@ -52,12 +59,15 @@
                 console.print(_make_table(section.rows))
 
     def print_text(self, text: str) -> None:
-        """Prints a text as it is."""
+        """Prints a text unchanged."""
         self._environment.stdout.write(text)
 
     @contextmanager
     def show_progress(self, message: str) -> Iterator[None]:
-        """Shows on a terminal that the command is waiting."""
+        """Shows a progress message on standard error while the command waits.
+
+        Nothing is shown if standard error is not a terminal.
+        """
         if not self._environment.stderr_is_terminal:
             yield
             return
@@ -68,7 +78,7 @@
     def _open_console(self) -> Console:
         if self._environment.stdout_is_terminal:
             return Console(file=self._environment.stdout, force_terminal=True)
-        return Console(file=self._environment.stdout, width=PLAIN_WIDTH_CHARACTERS)
+        return Console(file=self._environment.stdout, width=NON_TERMINAL_WIDTH_CHARACTERS)
 
 
 def _make_table(rows: Sequence[dict[str, Any]]) -> Table:
--- a/berylproxy/cli/records.py
+++ b/berylproxy/cli/records.py
@@ -1,4 +1,4 @@
-"""The commands of operators."""
+"""The commands for operators, which manage records and show a daemon's status and usage."""
 
 import json
 from dataclasses import dataclass
@@ -16,7 +16,7 @@
     ValidateCommand,
 )
 from berylproxy.cli.errors import UsageError
-from berylproxy.cli.inputs import RecordFile, read_records
+from berylproxy.cli.inputs import RecordEntry, read_records
 from berylproxy.cli.output import Section
 from berylproxy.cli.record_checks import check_records
 from berylproxy.client.errors import ClientError, RecordRefusedError
@@ -27,19 +27,28 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannedChange:
-    """A record to apply and the revision that it must have until then."""
+    """A record to apply.
 
-    record: RecordFile
+    :param expected_revision: revision that the stored record must have when it is replaced.
+    :param is_needed: ``False`` if the stored record is already the same.
+    """
+
+    record: RecordEntry
     expected_revision: int
-    needed: bool
+    is_needed: bool
 
 
 async def run_apply(command: ApplyCommand, context: Context) -> ExitStatus:
-    """Applies records in the order of the files, each if nobody changed it meanwhile."""
+    """Applies records in the order of the files.
+
+    A record that was changed by somebody else in the meantime is not overwritten.
+    """
     records = read_records(command.files, context.environment)
     if command.expect_revision is not None and len(records) != 1:
-        raise UsageError("--expect-revision is for one record", hint="apply the records singly")
-    check_records(records, newer_allowed=True)
+        raise UsageError(
+            "--expect-revision requires exactly one record", hint="apply the records one by one"
+        )
+    check_records(records, allow_newer_schema=True)
     async with context.open_operator_client() as client:
         changes = [
             await _plan_change(client, record, command.expect_revision) for record in records
@@ -65,20 +74,20 @@
 
 
 async def run_diff(command: DiffCommand, context: Context) -> ExitStatus:
-    """Prints what applying the files would change."""
+    """Prints the changes that applying the files would make."""
     records = read_records(command.files, context.environment)
-    differing = False
+    has_differences = False
     async with context.open_operator_client() as client:
         for record in records:
             in_force = await client.get_record(record.kind, record.name)
             text = _make_diff(in_force.record if in_force else None, record)
             context.printer.print_text(text)
-            differing = differing or bool(text)
-    return ExitStatus.DIFFERENCES_FOUND if differing else ExitStatus.SUCCESS
+            has_differences = has_differences or bool(text)
+    return ExitStatus.DIFFERENCES_FOUND if has_differences else ExitStatus.SUCCESS
 
 
 async def run_delete(command: DeleteCommand, context: Context) -> ExitStatus:
-    """Deletes a record if nobody changed it meanwhile."""
+    """Deletes a record unless somebody else has changed it in the meantime."""
     async with context.open_operator_client() as client:
         revision = command.expect_revision
         if revision is None:
@@ -90,7 +99,10 @@
 
 
 async def run_validate(command: ValidateCommand, context: Context) -> ExitStatus:
-    """Checks records by themselves, and against those in force if asked to; changes nothing."""
+    """Validates records without applying them.
+
+    With ``--online``, a daemon also checks them against the records in force.
+    """
     records = read_records(command.files, context.environment)
     check_records(records)
     if command.online:
@@ -103,7 +115,7 @@
 
 
 async def run_daemon_status(command: DaemonCommand, context: Context) -> ExitStatus:
-    """Prints the state of a daemon, its peers and its endpoints."""
+    """Prints the status of a daemon, its peers, endpoint groups and endpoints."""
     async with context.open_operator_client() as client:
         status = await client.fetch_status()
     sections = [
@@ -118,7 +130,7 @@
 
 
 async def run_usage(command: UsageCommand, context: Context) -> ExitStatus:
-    """Prints the sums of finished work over all daemons."""
+    """Prints the usage totals of finished work over all daemons."""
     async with context.open_operator_client() as client:
         usage = await client.fetch_usage()
     context.printer.print(usage.model_dump(), Section(usage.usage))
@@ -126,14 +138,14 @@
 
 
 async def _plan_change(
-    client: OperatorClient, record: RecordFile, expected_revision: int | None
+    client: OperatorClient, record: RecordEntry, expected_revision: int | None
 ) -> PlannedChange:
     if expected_revision is not None:
-        return PlannedChange(record, expected_revision, needed=True)
+        return PlannedChange(record, expected_revision, is_needed=True)
     in_force = await client.get_record(record.kind, record.name)
     if in_force is None:
-        return PlannedChange(record, ABSENT_REVISION, needed=True)
-    return PlannedChange(record, in_force.revision, needed=in_force.record != record.record)
+        return PlannedChange(record, ABSENT_REVISION, is_needed=True)
+    return PlannedChange(record, in_force.revision, is_needed=in_force.record != record.record)
 
 
 async def _apply_changes(
@@ -143,7 +155,7 @@
     for change in changes:
         record = change.record
         line = {"kind": record.kind, "name": record.name, "change": "unchanged"}
-        if change.needed:
+        if change.is_needed:
             try:
                 await client.put_record(
                     record.kind, record.name, record.record, change.expected_revision
@@ -159,11 +171,11 @@
 async def _get_existing(client: OperatorClient, kind: str, name: str) -> RecordBody:
     record = await client.get_record(kind, name)
     if record is None:
-        raise RecordRefusedError(f"there is no {kind}/{name}", code="record_not_found")
+        raise RecordRefusedError(f"there is no record {kind}/{name}", code="record_not_found")
     return record
 
 
-def _make_diff(in_force: dict[str, Any] | None, record: RecordFile) -> str:
+def _make_diff(in_force: dict[str, Any] | None, record: RecordEntry) -> str:
     title = f"{record.kind}/{record.name}"
     old_lines = [] if in_force is None else _format_record(in_force)
     new_lines = _format_record(record.record)
--- a/berylproxy/client/__init__.py
+++ b/berylproxy/client/__init__.py
@@ -1,1 +1,1 @@
-"""The library that callers use to submit work."""
+"""Client library with which callers submit work and operators administer the daemons."""
--- a/berylproxy/client/answers.py
+++ b/berylproxy/client/answers.py
@@ -1,4 +1,4 @@
-"""Reads a daemon's answer and makes sure that it belongs to the call."""
+"""Parses a daemon's answer and checks that it belongs to the call."""
 
 from typing import NoReturn
 
@@ -28,23 +28,26 @@
     Outcome.FAILED: JobFailedError,
     Outcome.UNKNOWN: OutcomeUnknownError,
 }
-LOWEST_ERROR_STATUS = 400
+MIN_ERROR_STATUS = 400
 
 
 def read_job_answer(
     reply: Reply, job_id: str, task_ids: tuple[str, ...] | None = None
 ) -> JobAnswer:
-    """Returns a job's answer if it is running or done, and raises its error otherwise.
+    """Returns the answer of a job that is running or done; raises the job's error otherwise.
 
-    The error's ``job_id`` is empty if the call was refused before the job was looked at.
+    The error's ``job_id`` is empty if the daemon refused the call before it read the job's
+    identifier.
 
-    :param task_ids: identifiers of the job's tasks in order; ``None`` if they are not known.
-    :raises AnswerMismatchError: if the answer is not this job's.
+    :param task_ids: identifiers of the job's tasks in order; ``None`` if the caller of this
+        function does not know them.
+    :raises AnswerMismatchError: if the answer belongs to another job or contradicts itself.
+    :raises ClientError: if the job was not run, failed or has an unknown outcome.
     """
     body = _parse_job_answer(reply)
-    _check_belongs(body, reply.status, job_id)
+    _check_consistency(body, reply.status, job_id)
     if body.outcome in OUTCOME_ERRORS:
-        _raise_outcome(body)
+        _raise_outcome_error(body)
     if body.outcome is Outcome.DONE:
         _check_results(body, task_ids)
     return JobAnswer(
@@ -59,13 +62,13 @@
 
 
 def read_request_answer(reply: Reply, request_id: str) -> RequestAnswer:
-    """Returns an endpoint's answer, and raises the request's error if there is none.
+    """Returns the endpoint's answer to a request; raises the request's error if there is none.
 
-    :raises AnswerMismatchError: if the answer is not this request's.
+    :raises AnswerMismatchError: if the answer belongs to another request.
     """
-    answered_id = reply.headers.get(REQUEST_ID_HEADER, request_id)
-    if answered_id != request_id:
-        raise AnswerMismatchError(f"the answer is for request {answered_id!r}", job_id=request_id)
+    returned_id = reply.headers.get(REQUEST_ID_HEADER, request_id)
+    if returned_id != request_id:
+        raise AnswerMismatchError(f"the answer is for request {returned_id!r}", job_id=request_id)
     outcome = _read_outcome(reply, request_id)
     if outcome is Outcome.DONE:
         content_type = reply.headers.get("Content-Type", "")
@@ -85,14 +88,14 @@
 
 
 def raise_refusal(reply: Reply) -> NoReturn:
-    """Raises the error of a call that is about no job.
+    """Raises the error of a call that does not concern a job.
 
-    :raises NotRunError: with the daemon's code.
-    :raises AnswerMismatchError: if the answer is not a daemon's error.
+    :raises NotRunError: with the code that the daemon sent.
+    :raises AnswerMismatchError: if the body is not an error of a daemon.
     """
     error = _parse_error(reply)
     if error is None:
-        raise AnswerMismatchError(f"status {reply.status} without a daemon's error")
+        raise AnswerMismatchError(f"status {reply.status} without an error body")
     raise NotRunError(
         error.message,
         hint=error.hint,
@@ -105,31 +108,33 @@
     try:
         return JobAnswerBody.model_validate_json(reply.body)
     except ValidationError as error:
-        raise AnswerMismatchError(f"status {reply.status} without a job's answer") from error
+        raise AnswerMismatchError(
+            f"status {reply.status} without the body of a job's answer"
+        ) from error
 
 
-def _check_belongs(body: JobAnswerBody, status: int, job_id: str) -> None:
-    # A submission that is refused before its identifier is read is answered without one.
-    anonymous = body.outcome is Outcome.NOT_RUN and not body.id
-    if body.id != job_id and not anonymous:
+def _check_consistency(body: JobAnswerBody, status: int, job_id: str) -> None:
+    # The refusal of a submission whose identifier was not read yet carries no identifier.
+    is_unidentified_refusal = body.outcome is Outcome.NOT_RUN and not body.id
+    if body.id != job_id and not is_unidentified_refusal:
         raise AnswerMismatchError(f"the answer is for job {body.id!r}", job_id=job_id)
-    if (status >= LOWEST_ERROR_STATUS) != (body.outcome in OUTCOME_ERRORS):
-        raise AnswerMismatchError(f"status {status} contradicts its body", job_id=job_id)
+    if (status >= MIN_ERROR_STATUS) != (body.outcome in OUTCOME_ERRORS):
+        raise AnswerMismatchError(f"status {status} contradicts the body", job_id=job_id)
     if (body.state is JobState.RUNNING) != (body.outcome is None):
-        raise AnswerMismatchError(f"state {body.state} contradicts its outcome", job_id=job_id)
+        raise AnswerMismatchError(f"state {body.state} contradicts the outcome", job_id=job_id)
 
 
 def _check_results(body: JobAnswerBody, task_ids: tuple[str, ...] | None) -> None:
-    answered_ids = tuple(result.id for result in body.results)
-    if task_ids is not None and answered_ids != task_ids:
+    returned_ids = tuple(result.id for result in body.results)
+    if task_ids is not None and returned_ids != task_ids:
         raise AnswerMismatchError(
-            f"the answer has {len(answered_ids)} results that are not those of the"
-            f" {len(task_ids)} tasks submitted",
+            f"the answer's {len(returned_ids)} results do not match the"
+            f" {len(task_ids)} submitted tasks",
             job_id=body.id,
         )
 
 
-def _raise_outcome(body: JobAnswerBody) -> NoReturn:
+def _raise_outcome_error(body: JobAnswerBody) -> NoReturn:
     raise OUTCOME_ERRORS[body.outcome](
         body.message or f"the job ended as {body.outcome}",
         hint=body.hint,
@@ -144,7 +149,7 @@
         return Outcome(reply.headers.get(OUTCOME_HEADER, ""))
     except ValueError as error:
         raise AnswerMismatchError(
-            f"status {reply.status} without {OUTCOME_HEADER}", job_id=request_id
+            f"status {reply.status} without a valid {OUTCOME_HEADER} header", job_id=request_id
         ) from error
 
 
@@ -155,8 +160,8 @@
         return None
 
 
-def _read_retry_after_s(reply: Reply, told_s: float | None) -> float | None:
-    if told_s is not None:
-        return told_s
+def _read_retry_after_s(reply: Reply, body_retry_after_s: float | None) -> float | None:
+    if body_retry_after_s is not None:
+        return body_retry_after_s
     header = reply.headers.get("Retry-After", "")
     return float(header) if header.isdecimal() else None
--- a/berylproxy/client/errors.py
+++ b/berylproxy/client/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the callers' and operators' library."""
+"""Errors that the client library raises."""
 
 from berylproxy.errors import BerylproxyError
 
@@ -6,7 +6,7 @@
 class ClientError(BerylproxyError):
     """Base of the library's errors.
 
-    :param job_id: the job or request that it is about; empty when there is none.
+    :param job_id: identifier of the job or request concerned; empty if there is none.
     """
 
     code = "client_error"
@@ -32,19 +32,19 @@
 
 
 class AnswerLostError(ClientError):
-    """The call was sent and no whole answer came back."""
+    """The call was sent, but no complete answer was received."""
 
     code = "answer_lost"
 
 
 class AnswerMismatchError(AnswerLostError):
-    """An answer came that is not the answer to this call."""
+    """The received answer does not belong to this call or is not valid."""
 
     code = "answer_mismatch"
 
 
 class NotRunError(ClientError):
-    """The daemon refused the work: no task has started."""
+    """The daemon refused the job or request: no task has started."""
 
     code = "not_run"
 
@@ -63,18 +63,18 @@
 
 
 class OutcomeUnknownError(ClientError):
-    """The work may have run. Only the caller can decide whether to submit it anew."""
+    """The job or request may have run. Only the caller can decide whether to submit it again."""
 
     code = "outcome_unknown"
 
 
 class RecordRefusedError(ClientError):
-    """The daemon refused a record or does not know it."""
+    """The record is invalid or does not exist."""
 
     code = "record_invalid"
 
 
 class RecordConflictError(ClientError):
-    """Another operator changed the record first: nothing was written."""
+    """The record does not have the expected revision: nothing was written."""
 
     code = "record_conflict"
--- a/berylproxy/client/models.py
+++ b/berylproxy/client/models.py
@@ -1,4 +1,4 @@
-"""What the library takes and gives: data classes, and the models that check a daemon's answers."""
+"""Data classes of the client library's interface, and models that validate daemons' answers."""
 
 from dataclasses import dataclass, field
 from enum import StrEnum
@@ -10,7 +10,7 @@
 
 
 class JobState(StrEnum):
-    """Whether a job has its answer."""
+    """Whether a job is still running or has ended."""
 
     RUNNING = "running"
     FINISHED = "finished"
@@ -20,9 +20,9 @@
 class JobTask:
     """One task of a job.
 
-    :param task_id: unique within the job.
-    :param payload: JSON value for the endpoint.
-    :param needs: resources that the task takes, by name (``memory_mb``).
+    :param task_id: identifier of the task, unique within the job.
+    :param payload: JSON value that the endpoint receives.
+    :param needs: amounts of resources that the task requires, by name (``memory_mb``).
     """
 
     task_id: str
@@ -40,9 +40,11 @@
 
 @dataclass(frozen=True, slots=True)
 class JobAnswer:
-    """A job's whole answer, or that it is still running.
+    """A job's state and, once the job has ended, its complete answer.
 
-    :param outcome: ``None`` while the job runs.
+    :param outcome: ``None`` while the job is running.
+    :param code: error code; empty if there was no error.
+    :param retry_after_s: time after which a retry may succeed; ``None`` if it can't help.
     :param results: one for each task in submission order if the outcome is ``DONE``, else empty.
     """
 
@@ -57,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestAnswer:
-    """An endpoint's whole answer to a single request."""
+    """An endpoint's complete answer to a single request."""
 
     request_id: str
     status: int
@@ -65,28 +67,28 @@
     body: bytes
 
 
-class BorderModel(BaseModel):
-    """Base of the checked bodies; fields of newer daemons are ignored."""
+class ResponseModel(BaseModel):
+    """Base of the response bodies; ignores unknown fields, which newer daemons may send."""
 
     model_config = ConfigDict(extra="ignore")
 
 
-class JobIdsBody(BorderModel):
-    """Body of an answer of ``POST /v1/job-ids``."""
+class JobIdsBody(ResponseModel):
+    """Response body of ``POST /v1/job-ids``."""
 
     ids: list[str] = Field(min_length=1)
     valid_for_s: float = Field(gt=0)
 
 
-class TaskAnswerBody(BorderModel):
-    """One of the results of :class:`JobAnswerBody`."""
+class TaskAnswerBody(ResponseModel):
+    """One result in :class:`JobAnswerBody`."""
 
     id: str
     payload: Any = None
 
 
-class JobAnswerBody(BorderModel):
-    """Body of every answer about a job, errors included."""
+class JobAnswerBody(ResponseModel):
+    """Response body of every call about a job, errors included."""
 
     id: str = ""
     state: JobState
@@ -98,10 +100,10 @@
     results: list[TaskAnswerBody] = Field(default_factory=list)
 
 
-class ErrorBody(BorderModel):
-    """Body of an error.
+class ErrorBody(ResponseModel):
+    """Body of an error response.
 
-    :param id: the job or request that it is about; empty if it is about none.
+    :param id: identifier of the job or request concerned; empty if there is none.
     """
 
     id: str = ""
@@ -111,7 +113,7 @@
     retry_after_s: float | None = Field(default=None, ge=0)
 
 
-class RecordBody(BorderModel):
+class RecordBody(ResponseModel):
     """A configuration record with its revision."""
 
     kind: str
@@ -120,21 +122,21 @@
     record: dict[str, Any]
 
 
-class RecordListBody(BorderModel):
-    """Body of ``GET /v1/records/{kind}``."""
+class RecordListBody(ResponseModel):
+    """Response body of ``GET /v1/records/{kind}``."""
 
     revision: int
     records: list[RecordBody]
 
 
-class RevisionBody(BorderModel):
-    """Body of an answer to a write."""
+class RevisionBody(ResponseModel):
+    """Response body of a write; holds the record's new revision."""
 
     revision: int
 
 
-class StatusBody(BorderModel):
-    """Body of ``GET /v1/status``."""
+class StatusBody(ResponseModel):
+    """Response body of ``GET /v1/status``."""
 
     daemon: dict[str, Any]
     peers: list[dict[str, Any]] = Field(default_factory=list)
@@ -142,8 +144,8 @@
     endpoints: list[dict[str, Any]] = Field(default_factory=list)
 
 
-class UsageBody(BorderModel):
-    """Body of ``GET /v1/usage``."""
+class UsageBody(ResponseModel):
+    """Response body of ``GET /v1/usage``."""
 
     revision: int
     usage: list[dict[str, Any]] = Field(default_factory=list)
--- a/berylproxy/client/retries.py
+++ b/berylproxy/client/retries.py
@@ -1,4 +1,4 @@
-"""When to try again, and for how long."""
+"""Limits and delays of retries."""
 
 from dataclasses import dataclass
 from random import Random
@@ -10,28 +10,29 @@
 
 
 class WaitingClock(Clock, Protocol):
-    """A clock that one can also wait on; tests replace it."""
+    """A clock that can also sleep; tests replace it."""
 
     async def sleep(self, duration_s: float) -> None:
-        """Waits."""
+        """Waits for a number of seconds."""
 
 
 class EventLoopClock(MonotonicClock):
-    """The system's clock, waited on without blocking the event loop."""
+    """The system's monotonic clock; sleeps without blocking the event loop."""
 
     async def sleep(self, duration_s: float) -> None:
-        """Waits."""
+        """Waits for a number of seconds."""
         await sleep(duration_s)
 
 
 @dataclass(frozen=True, slots=True)
 class RetryPolicy:
-    """How often and how fast a call is repeated.
+    """How often and after which delays a call is retried.
 
-    :param max_retries: the most repetitions of one call.
-    :param first_backoff_s: wait before the first repetition when the daemon named none.
-    :param max_backoff_s: the longest of such waits.
-    :param jitter: largest addition to a wait, as a fraction of it.
+    :param max_retries: largest number of retries of one call.
+    :param first_backoff_s: largest delay before the first retry if the daemon sent no
+        ``retry_after_s``; it doubles with each retry.
+    :param max_backoff_s: upper limit of this delay.
+    :param jitter: largest random addition to a ``retry_after_s``, as a fraction of it.
     """
 
     max_retries: int = 6
@@ -41,7 +42,7 @@
 
 
 class RetryBudget:
-    """The repetitions left to one call, bounded in number and by its deadline.
+    """The retries left for one call, limited in number and by a deadline.
 
     :param timeout_s: time from now to the deadline.
     """
@@ -56,15 +57,15 @@
         self._retries = 0
 
     def remaining_s(self) -> float:
-        """Tells the time to the deadline; 0 after it."""
+        """Returns the time to the deadline; 0 if the deadline has passed."""
         return max(0.0, self._deadline_s - self._clock.now_s())
 
     async def wait(self, retry_after_s: float | None = None) -> bool:
         """Waits until the next attempt is due.
 
-        Returns ``False`` at once, without waiting, when the budget does not allow that attempt.
+        Returns ``False`` at once, without waiting, if the budget does not allow another attempt.
 
-        :param retry_after_s: the daemon's wish, which is the least that is waited.
+        :param retry_after_s: shortest delay, as requested by the daemon; ``None`` if it sent none.
         """
         delay_s = self._choose_delay_s(retry_after_s)
         if self._retries >= self._policy.max_retries or delay_s >= self.remaining_s():
@@ -74,7 +75,11 @@
         return True
 
     def _choose_delay_s(self, retry_after_s: float | None) -> float:
-        """Jitters the daemon's wish upwards, or an exponential back-off downwards."""
+        """Chooses a random delay.
+
+        Jitter only lengthens the daemon's ``retry_after_s``, which is the shortest wait. Without
+        one, the delay is drawn between zero and an exponential back-off.
+        """
         if retry_after_s is not None:
             return retry_after_s * (1.0 + self._policy.jitter * self._random.random())
         backoff_s = self._policy.first_backoff_s * 2**self._retries
--- a/berylproxy/client/submission.py
+++ b/berylproxy/client/submission.py
@@ -1,14 +1,15 @@
-"""Brings one piece of work to its single answer, over as many attempts as it takes.
+"""Submits one job or request, with retries, until it has its one answer.
 
-An identifier is kept as long as a daemon may hold the work under it. It is replaced only when every
-attempt under it has certainly ended without a task started.
+Retries use the same identifier as long as a daemon may have accepted the work under it, so that the
+work does not run twice. A new identifier is used only if every attempt under the previous one has
+certainly ended without a task started.
 """
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
 from typing import Generic, TypeVar
 
-from berylproxy.client.connection import Call, Connections, Reply
+from berylproxy.client.connection import Call, ConnectionPool, Reply
 from berylproxy.client.errors import (
     AnswerLostError,
     CannotConnectError,
@@ -24,130 +25,150 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Exchange(Generic[Answer]):
-    """How one kind of work is sent and its answer read.
+class CallCodec(Generic[Answer]):
+    """Encodes the calls and decodes the replies of one job or request.
 
-    :param make_call: the call for an identifier and the time left in seconds.
-    :param read: reads the reply to the call of an identifier.
+    :param make_call: makes the call from the identifier and the remaining time in seconds.
+    :param read_reply: parses the reply to the call made for the given identifier.
     """
 
     make_call: Callable[[str, float], Call]
-    read: Callable[[Reply, str], Answer]
+    read_reply: Callable[[Reply, str], Answer]
 
 
 @dataclass(slots=True)
 class _Progress:
-    """What has happened under the current identifier.
-
-    :param identifier: the identifier; ``None`` until one is taken.
-    :param base_url: the daemon that the next attempt goes to.
-    :param uncertain: whether a daemon may hold the work although no answer came.
-    :param is_given: whether the caller gave the identifier, which is then never replaced.
+    """State of a submission over its attempts.
+
+    :param identifier: the current identifier; ``None`` until one is acquired.
+    :param base_url: daemon that the next attempt is sent to.
+    :param may_be_accepted: whether a daemon may have accepted the work under the current
+        identifier although no answer was received.
+    :param is_caller_supplied: whether the caller chose the identifier, which is then never
+        replaced.
+    :param attempts: number of attempts so far, under all identifiers.
+    :param unreachable_urls: daemons that could not be reached.
     """
 
     identifier: Identifier | None
     base_url: str
-    uncertain: bool
-    is_given: bool
+    may_be_accepted: bool
+    is_caller_supplied: bool
     attempts: int = 0
-    unreachable: set[str] = field(default_factory=set)
+    unreachable_urls: set[str] = field(default_factory=set)
 
 
 class Submitter:
-    """Sends work until it is answered or its budget is spent."""
+    """Sends a job or request until it is answered or its retry budget is exhausted."""
 
     def __init__(
-        self, base_urls: tuple[str, ...], connections: Connections, identifiers: IdentifierSource
+        self,
+        base_urls: tuple[str, ...],
+        connection_pool: ConnectionPool,
+        identifiers: IdentifierSource,
     ) -> None:
         self._base_urls = base_urls
-        self._connections = connections
+        self._connection_pool = connection_pool
         self._identifiers = identifiers
 
     async def run(
-        self, exchange: Exchange[Answer], budget: RetryBudget, job_id: str = ""
+        self, codec: CallCodec[Answer], budget: RetryBudget, job_id: str = ""
     ) -> tuple[Answer, str]:
-        """Returns the answer and the daemon that gave it.
+        """Returns the answer and the base URL of the daemon that sent it.
 
-        :param job_id: identifier of an earlier submission of the same work, which is then kept.
-        :raises ClientError: the final error of the work.
+        :param job_id: identifier of an earlier submission of the same work, which all attempts
+            then use; empty to acquire a new one.
+        :raises ClientError: the final error of the job or request.
         """
-        progress = self._start(job_id)
+        progress = self._start_progress(job_id)
         while True:
             try:
-                return await self._attempt(exchange, budget, progress), progress.base_url
+                return await self._attempt(codec, budget, progress), progress.base_url
             except ClientError as error:
-                await self._prepare_next(error, budget, progress)
+                await self._prepare_retry(error, budget, progress)
 
-    def _start(self, job_id: str) -> _Progress:
+    def _start_progress(self, job_id: str) -> _Progress:
         first_url = self._base_urls[0]
         if not job_id:
-            return _Progress(None, first_url, uncertain=False, is_given=False)
-        # The earlier submission may be running.
-        return _Progress(Identifier(job_id, first_url), first_url, uncertain=True, is_given=True)
+            return _Progress(None, first_url, may_be_accepted=False, is_caller_supplied=False)
+        # The earlier submission may have been accepted and be running.
+        return _Progress(
+            Identifier(job_id, first_url), first_url, may_be_accepted=True, is_caller_supplied=True
+        )
 
     async def _attempt(
-        self, exchange: Exchange[Answer], budget: RetryBudget, progress: _Progress
+        self, codec: CallCodec[Answer], budget: RetryBudget, progress: _Progress
     ) -> Answer:
         if progress.identifier is None:
-            await self._take_identifier(progress)
-        call = exchange.make_call(progress.identifier.value, budget.remaining_s())
-        repeated = progress.attempts > 0
+            await self._acquire_identifier(progress)
+        call = codec.make_call(progress.identifier.value, budget.remaining_s())
+        is_retry = progress.attempts > 0
         progress.attempts += 1
-        reply = await self._connections.exchange(progress.base_url, call, new_connection=repeated)
-        return exchange.read(reply, progress.identifier.value)
+        reply = await self._connection_pool.exchange(
+            progress.base_url, call, new_connection=is_retry
+        )
+        return codec.read_reply(reply, progress.identifier.value)
+
+    async def _acquire_identifier(self, progress: _Progress) -> None:
+        """Acquires an identifier, preferably from the daemon chosen for the next attempt.
 
-    async def _take_identifier(self, progress: _Progress) -> None:
-        """Takes an identifier from the chosen daemon if possible, and follows it to its daemon."""
-        others = {url for url in self._base_urls if url != progress.base_url}
-        progress.identifier = await self._identifiers.take(others | progress.unreachable)
+        If another daemon minted the identifier, the next attempt goes to that daemon instead.
+        """
+        other_urls = {url for url in self._base_urls if url != progress.base_url}
+        progress.identifier = await self._identifiers.acquire(
+            other_urls | progress.unreachable_urls
+        )
         progress.base_url = progress.identifier.base_url
 
-    async def _prepare_next(
+    async def _prepare_retry(
         self, error: ClientError, budget: RetryBudget, progress: _Progress
     ) -> None:
-        """Waits and chooses the next attempt, or raises the final error."""
+        """Waits for the next attempt and chooses its daemon, or raises the final error."""
         if isinstance(error, AnswerLostError | OutcomeUnknownError):
-            progress.uncertain = True
-        elif _is_final(error) and not progress.is_given:
-            progress.uncertain = False
-        if not _is_worth_repeating(error):
-            raise _conclude(error, progress)
+            progress.may_be_accepted = True
+        elif _is_proven_not_run(error) and not progress.is_caller_supplied:
+            progress.may_be_accepted = False
+        if not _is_retryable(error):
+            raise _choose_final_error(error, progress)
         if isinstance(error, CannotConnectError):
-            progress.unreachable.add(progress.base_url)
+            progress.unreachable_urls.add(progress.base_url)
             self._identifiers.discard(progress.base_url)
         if not await budget.wait(error.retry_after_s):
-            raise _conclude(error, progress)
-        progress.base_url = self._choose_next(progress.base_url)
-        if not progress.uncertain:
+            raise _choose_final_error(error, progress)
+        progress.base_url = self._choose_next_url(progress.base_url)
+        if not progress.may_be_accepted:
             progress.identifier = None
 
-    def _choose_next(self, base_url: str) -> str:
-        position = self._base_urls.index(base_url)
-        return self._base_urls[(position + 1) % len(self._base_urls)]
+    def _choose_next_url(self, base_url: str) -> str:
+        url_index = self._base_urls.index(base_url)
+        return self._base_urls[(url_index + 1) % len(self._base_urls)]
 
 
-def _is_final(error: ClientError) -> bool:
-    """Tells whether the identifier's home has said that its work has not run and never will."""
+def _is_proven_not_run(error: ClientError) -> bool:
+    """Returns whether the daemon has confirmed that the work has not run and never will.
+
+    Only a refusal that names the identifier confirms this.
+    """
     return isinstance(error, NotRunError) and bool(error.job_id)
 
 
-def _is_worth_repeating(error: ClientError) -> bool:
-    """Tells whether another attempt may bring the answer."""
+def _is_retryable(error: ClientError) -> bool:
+    """Returns whether another attempt may succeed."""
     if isinstance(error, NotRunError | OutcomeUnknownError):
         return error.retry_after_s is not None
     return isinstance(error, CannotConnectError | AnswerLostError)
 
 
-def _conclude(error: ClientError, progress: _Progress) -> ClientError:
-    """Chooses the error that the caller gets."""
-    if not progress.uncertain or isinstance(error, JobFailedError | OutcomeUnknownError):
+def _choose_final_error(error: ClientError, progress: _Progress) -> ClientError:
+    """Chooses the error that the caller receives."""
+    if not progress.may_be_accepted or isinstance(error, JobFailedError | OutcomeUnknownError):
         return error
-    if _is_final(error):
+    if _is_proven_not_run(error):
         return error
-    # The last attempt was lost or refused before the work was looked at, which tells nothing about
-    # an earlier attempt.
+    # The last attempt was lost, or refused before the daemon read the identifier. Neither proves
+    # anything about an earlier attempt, which a daemon may have accepted.
     return OutcomeUnknownError(
-        f"no whole answer after {progress.attempts} attempts: {error.message}",
-        hint="ask for the job or submit again under the same identifier",
+        f"no complete answer after {progress.attempts} attempts: {error.message}",
+        hint="fetch the job, or submit it again under the same identifier",
         job_id=progress.identifier.value,
     )
--- a/berylproxy/daemon/application.py
+++ b/berylproxy/daemon/application.py
@@ -17,7 +17,7 @@
 
 from berylproxy.admit.answers import answer_http_error, answer_internal_error
 from berylproxy.admit.api import CallerApi
-from berylproxy.admit.authorization import OperatorGate
+from berylproxy.admit.authorization import OperatorAuthorizer
 from berylproxy.clock import MonotonicClock
 from berylproxy.constants import MAX_PEER_MESSAGE_BYTES
 from berylproxy.daemon.http_server import describe_listener, open_listener, serve_http
@@ -112,7 +112,7 @@
             self._pipeline.submit,
             self._pipeline.cancel,
         )
-        self._gate = OperatorGate(settings.operator_tokens)
+        self._gate = OperatorAuthorizer(settings.operator_tokens)
         self._monitor = Monitor(
             lambda: self._network.identity,
             self._network,
--- a/tests/steps/border_steps.py
+++ b/tests/steps/border_steps.py
@@ -1,4 +1,4 @@
-"""Steps that bring bad input and strangers to a cluster of real daemons."""
+"""Steps that send invalid and unauthorized input to a cluster of real daemons."""
 
 import json
 import socket
@@ -31,30 +31,30 @@
 
 
 def read_to_end(connection: socket.socket) -> bytes:
-    """Reads until the other side closes."""
+    """Reads until the other side closes the connection."""
     received = b""
     try:
         while chunk := connection.recv(4096):
             received += chunk
     except ConnectionResetError:
-        pass  # closed with our bytes unread
+        pass  # the other side closed without having read all sent bytes
     return received
 
 
 def post_job(cluster, *, team: str = "", **changes):
-    """Submits a job whose body is changed."""
+    """Submits a valid job with some fields of its body replaced."""
     body = {"service": SERVICE, "tasks": TASKS} | changes
     return cluster.call("POST", "/v1/jobs", team=team, json=body)
 
 
 def reuse_identifier(cluster):
-    """Submits other content under an id that is used up."""
+    """Submits another job under an identifier that is already used."""
     job_id = cluster.mint()
     assert cluster.submit(job_id, TASKS).status_code == 200
     return cluster.submit(job_id, OTHER_TASKS, daemon=1)
 
 
-BAD_INPUTS = {
+INVALID_INPUTS = {
     "malformed JSON": lambda c: c.call("POST", "/v1/jobs", content=b'{"service": '),
     "a number that is not JSON": lambda c: c.call(
         "POST",
@@ -68,20 +68,20 @@
     "a task that never fits": lambda c: post_job(
         c, tasks=[{"id": "t", "needs": {"accelerators": 9}}]
     ),
-    "a need beyond all integers": lambda c: post_job(
+    "an amount beyond 64 bits": lambda c: post_job(
         c, tasks=[{"id": "t", "needs": {"accelerators": 10**30}}]
     ),
     "two tasks with one id": lambda c: post_job(c, tasks=TASKS * 2),
-    "an id of other content": reuse_identifier,
-    "an id that is none": lambda c: c.call("GET", "/v1/jobs/none"),
+    "an id of another job": reuse_identifier,
+    "a malformed id": lambda c: c.call("GET", "/v1/jobs/none"),
     "an id of an unknown daemon": lambda c: c.call("GET", f"/v1/jobs/{'0' * 12}{c.mint()[12:]}"),
     "a timeout header out of range": lambda c: c.call(
         "POST", REQUESTS_PATH, headers={"Berylproxy-Timeout-S": "9999"}, json={}
     ),
-    "a repeatable header of no sense": lambda c: c.call(
+    "an invalid repeatable header": lambda c: c.call(
         "POST", REQUESTS_PATH, headers={"Berylproxy-Repeatable": "maybe"}, json={}
     ),
-    "a wait that is no number": lambda c: c.call("GET", f"/v1/jobs/{c.mint()}?wait_s=nan"),
+    "a wait that is not a number": lambda c: c.call("GET", f"/v1/jobs/{c.mint()}?wait_s=nan"),
     "an unknown path": lambda c: c.call("GET", "/v1/none"),
     "an unknown method": lambda c: c.call("PATCH", "/v1/jobs"),
     "a record without a revision": lambda c: c.call("PUT", "/v1/records/pools/p", json={}),
@@ -97,7 +97,7 @@
 
 
 def has_refusal(cluster, reason: str) -> bool:
-    """Tells whether daemon 0 has logged a refused handshake with its code and reason."""
+    """Returns whether daemon 0 has logged a refused handshake with the code and the reason."""
     lines = [json.loads(line) for line in cluster.read_log("d0").split("\n")[:-1]]
     return any(
         line.get("code") == PeerHandshakeError.code and reason in line["message"] for line in lines
@@ -109,55 +109,55 @@
     context.cluster = share_guarded_cluster(context)
 
 
-@when("a job is in flight at the border")
-def step_job_in_flight(context):
+@when("a job is running in the guarded cluster")
+def step_running_job(context):
     cluster = context.cluster
     context.job_id = cluster.mint()
-    pool = ThreadPoolExecutor(1)
-    context.add_cleanup(pool.shutdown)
-    context.in_flight = pool.submit(cluster.submit, context.job_id, LONG_TASKS)
+    executor = ThreadPoolExecutor(1)
+    context.add_cleanup(executor.shutdown)
+    context.pending_response = executor.submit(cluster.submit, context.job_id, LONG_TASKS)
     names = {f"{context.job_id}/{task['id']}" for task in LONG_TASKS}
     cluster.wait_until(lambda: names <= cluster.count_starts().keys(), "the tasks run")
 
 
-@then("the job in flight at the border is answered whole")
-def step_in_flight_whole(context):
-    answer = context.in_flight.result().json()
+@then("the running job gets its complete answer")
+def step_running_job_answered(context):
+    answer = context.pending_response.result().json()
     assert answer["outcome"] == "done", answer
     assert [result["id"] for result in answer["results"]] == [task["id"] for task in LONG_TASKS]
     assert all(daemon.is_running() for daemon in context.cluster.daemons)
 
 
-@then("these bad inputs are refused")
-def step_bad_inputs(context):
+@then("these invalid inputs are refused")
+def step_invalid_inputs(context):
     for row in context.table:
-        response = BAD_INPUTS[row["input"]](context.cluster)
+        response = INVALID_INPUTS[row["input"]](context.cluster)
         check_error(response, int(row["status"]), row["code"])
         assert response.json()["outcome"] == row["outcome"], response.text
 
 
-@when("a caller cuts its connection within a body")
-def step_cut_body(context):
+@when("a caller closes its connection within a request body")
+def step_truncated_body(context):
     address = context.cluster.daemons[0].announced["http_address"]
     with connect(address) as connection:
         head = f"POST /v1/jobs HTTP/1.1\r\nHost: {address}\r\nContent-Length: 100\r\n\r\n"
         connection.sendall(head.encode() + b'{"service":')
 
 
-@when("an alien sends HTTP to the peer port")
-def step_alien(context):
+@when("a client that is not a daemon sends HTTP to the peer port")
+def step_http_to_peer_port(context):
     with connect(context.cluster.daemons[0].announced["peer_address"]) as connection:
         connection.sendall(b"GET / HTTP/1.1\r\nHost: peer\r\n\r\n")
-        read_to_end(connection)  # raises if the daemon leaves it open
+        read_to_end(connection)  # raises if the daemon leaves the connection open
 
 
-@then("the alien's connection is closed and the log says why")
-def step_alien_logged(context):
+@then("that connection is closed and the log states the reason")
+def step_refusal_logged(context):
     cluster = context.cluster
     cluster.wait_until(lambda: has_refusal(cluster, "not a daemon"), "the log line")
 
 
-@then('the operators\' calls are refused with {status:d} "{code}" but with the right token')
+@then('the operators\' calls are refused with {status:d} "{code}" unless the token is valid')
 def step_operator_calls(context, status, code):
     for method, path in (
         ("GET", "/v1/records/pools"),
@@ -176,7 +176,7 @@
             assert response.status_code == 200, (path, response.text)
 
 
-@then('team calls with no token and with a wrong one are refused with {status:d} "{code}"')
+@then('team calls without a token or with a wrong one are refused with {status:d} "{code}"')
 def step_team_calls(context, status, code):
     wrong_tokens = ("", "Bearer wrong", f"Bearer {TEAM_TOKENS['south']}")
     for authorization in (*wrong_tokens, OPERATOR["Authorization"]):
@@ -193,7 +193,7 @@
             check_error(response, status, code)
 
 
-@then('a team that no record names is refused with {status:d} "{code}"')
+@then('a team without a record is refused with {status:d} "{code}"')
 def step_unknown_team(context, status, code):
     headers = {"Berylproxy-Team": "none"}
     check_error(context.cluster.call("POST", "/v1/job-ids", headers=headers, json={}), status, code)
@@ -224,7 +224,7 @@
         check_error(submitted, status, code)
 
 
-@then('an unused id of team "{owner}" is of no use to team "{team}" and still serves team "{same}"')
+@then('an unused id of team "{owner}" is refused for team "{team}" and accepted for team "{same}"')
 def step_foreign_identifier(context, owner, team, same):
     cluster = context.cluster
     job_id = cluster.mint(team=owner)
@@ -239,28 +239,28 @@
     environment = cluster.environment
     cluster.environment = environment | {"BERYLPROXY_PEER_KEYS": OTHER_KEY}
     try:
-        context.stranger = cluster.start_daemon(9, "a", "stranger")
+        context.foreign_daemon = cluster.start_daemon(9, "a", "stranger")
     finally:
         cluster.environment = environment
-    context.add_cleanup(context.stranger.kill)
+    context.add_cleanup(context.foreign_daemon.kill)
 
 
-@then("no daemon lets the one with another peer key in")
-def step_stranger_out(context):
+@then("no daemon accepts the one with another peer key as a peer")
+def step_other_key_refused(context):
     cluster = context.cluster
     cluster.wait_until(lambda: has_refusal(cluster, "no shared key"), "d0 has refused it")
     for daemon in range(len(cluster.daemons)):
         peers = {peer["daemon_id"] for peer in cluster.read_status(daemon)["peers"]}
         assert "d9" not in peers, peers
-    url = f"http://{context.stranger.announced['http_address']}/v1/status"
+    url = f"http://{context.foreign_daemon.announced['http_address']}/v1/status"
     assert not cluster.client.get(url).json()["peers"]
 
 
-@then("no secret shows in a log, a trace or a status")
+@then("no secret appears in a log, a trace or a status")
 def step_no_secrets(context):
     cluster = context.cluster
     texts = [path.read_text() for path in cluster.folder.iterdir() if path.is_file()]
     texts += [str(cluster.read_status(daemon)) for daemon in range(len(cluster.daemons))]
     assert any('"level"' in text for text in texts), "no log was read"
     for secret in (*SECRETS, OTHER_KEY):
-        assert not any(secret in text for text in texts), f"{secret[:5]}... shows"
+        assert not any(secret in text for text in texts), f"{secret[:5]}... appears"
--- a/tests/steps/cli_explain_steps.py
+++ b/tests/steps/cli_explain_steps.py
@@ -1,4 +1,4 @@
-"""Steps for berylctl explain."""
+"""Steps for ``berylctl explain``."""
 
 import json
 
@@ -8,14 +8,14 @@
 LINES = (
     ("00.400", "d2", "claimed ledger", {"fence": 32, "former": 16, "holder_silence_s": 0.45}),
     ("00.900", "d2", "job completed", {"job": JOB, "took_s": 0.4}),
-    ("00.100", "d1", "job handed in again", {"job": JOB, "attempt": 0}),
+    ("00.100", "d1", "job submitted again", {"job": JOB, "attempt": 0}),
     ("00.200", "d1", "job completed", {"job": "00000000000000ff"}),
     ("05.000", "d1", "configuration in force", {"version": 9, "former": 8}),
 )
 
 
-@given("the log lines of a job that was handed in again are on standard input")
-def step_lines(context):
+@given("the log lines of a job that was submitted again are on standard input")
+def step_log_lines(context):
     written = [
         f"{second} {daemon_id} "
         + json.dumps(
@@ -31,8 +31,8 @@
     context.input = "\n".join(["not a log line", "{broken", *written])
 
 
-@then('the story\'s lines are "{messages}"')
-def step_story(context, messages):
+@then('the printed log lines are "{messages}"')
+def step_printed_lines(context, messages):
     lines = context.output.getvalue().splitlines()
     wanted = messages.split(",")
     assert len(lines) == len(wanted), lines
--- a/tests/steps/cli_steps.py
+++ b/tests/steps/cli_steps.py
@@ -1,4 +1,4 @@
-"""Steps for berylctl, run in this process against fake daemons."""
+"""Steps for berylctl, which runs in the test's process against fake daemons."""
 
 import json
 from io import StringIO
@@ -27,19 +27,19 @@
         "failure_domain": "domain-a",
     },
 }
-WRONG_ENDPOINT = {**ENDPOINT, "record": {**ENDPOINT["record"], "slotz": 8}}
-LOST_ENDPOINT = {**ENDPOINT, "record": {**ENDPOINT["record"], "pool": MISSING_POOL}}
+MISSPELT_ENDPOINT = {**ENDPOINT, "record": {**ENDPOINT["record"], "slotz": 8}}
+ENDPOINT_OF_MISSING_POOL = {**ENDPOINT, "record": {**ENDPOINT["record"], "pool": MISSING_POOL}}
 
 
-def enter(context, manager):
-    """Enters a context manager until the end of the scenario."""
+def enter_for_scenario(context, manager):
+    """Enters a context manager that is left at the end of the scenario."""
     entered = manager.__enter__()
     context.add_cleanup(manager.__exit__, None, None, None)
     return entered
 
 
 def write_records(context, *records):
-    folder = Path(enter(context, TemporaryDirectory(prefix="berylctl-")))
+    folder = Path(enter_for_scenario(context, TemporaryDirectory(prefix="berylctl-")))
     context.record_file = folder / "records.json"
     context.record_file.write_text(json.dumps(list(records)))
 
@@ -58,11 +58,11 @@
     context.status = main(words, environment)
 
 
-@given("berylctl knows two fake daemons")
+@given("berylctl is configured with two fake daemons")
 def step_daemons(context):
     context.cluster = FakeCluster()
     context.daemons = [FakeDaemon(name, context.cluster) for name in ("a", "b")]
-    enter(context, serve_daemons(*context.daemons))
+    enter_for_scenario(context, serve_daemons(*context.daemons))
     urls = ",".join(daemon.base_url for daemon in context.daemons)
     context.variables = {"BERYLPROXY_URL": urls}
     context.input = ""
@@ -94,17 +94,17 @@
 
 
 @given("a file of the record pools/oak and a misspelt endpoint")
-def step_wrong_file(context):
-    write_records(context, POOL, WRONG_ENDPOINT)
+def step_invalid_record_file(context):
+    write_records(context, POOL, MISSPELT_ENDPOINT)
 
 
 @given("a file of the record pools/oak and an endpoint of a pool that does not exist")
-def step_lost_file(context):
-    write_records(context, POOL, LOST_ENDPOINT)
+def step_missing_pool_file(context):
+    write_records(context, POOL, ENDPOINT_OF_MISSING_POOL)
 
 
 @given("a file of a record in a schema version that only the daemon knows")
-def step_newer_file(context):
+def step_newer_schema_file(context):
     write_records(context, NEWER_POOL)
 
 
@@ -128,7 +128,7 @@
     run_berylctl(context, arguments, on_terminal=True)
 
 
-@then('berylctl ends as {status} with the error "{code}"')
+@then('berylctl exits with {status} and the error "{code}"')
 def step_error(context, status, code):
     errors = context.errors.getvalue()
     assert context.status is ExitStatus[status], (context.status, errors)
@@ -137,30 +137,30 @@
     assert errors.count("\n") == 1, errors
 
 
-@then('berylctl ends as {status} and prints "{text}"')
+@then('berylctl exits with {status} and prints "{text}"')
 def step_prints(context, status, text):
     assert context.status is ExitStatus[status], (context.status, context.errors.getvalue())
     assert text in context.output.getvalue(), context.output.getvalue()
 
 
-@then("berylctl ends as {status} and prints exactly ''")
+@then("berylctl exits with {status} and prints exactly ''")
 def step_prints_nothing(context, status):
     step_prints_exactly(context, status, "")
 
 
-@then("berylctl ends as {status} and prints exactly '{text}'")
+@then("berylctl exits with {status} and prints exactly '{text}'")
 def step_prints_exactly(context, status, text):
     assert context.status is ExitStatus[status], (context.status, context.errors.getvalue())
     assert context.output.getvalue() == text, context.output.getvalue()
 
 
-@then('the error names "{text}"')
-@then('standard error names "{text}"')
-def step_error_names(context, text):
+@then('the error contains "{text}"')
+@then('standard error contains "{text}"')
+def step_error_contains(context, text):
     assert text in context.errors.getvalue(), context.errors.getvalue()
 
 
-@then("nothing stands on standard error")
+@then("standard error is empty")
 def step_no_errors(context):
     assert context.errors.getvalue() == "", context.errors.getvalue()
 
@@ -174,7 +174,7 @@
     assert shortest_s <= min(run_times_s) < max(run_times_s) <= longest_s
 
 
-@then('the fake daemons got the team "{team}" and the token "{token}"')
+@then('the fake daemons received the team "{team}" and the token "{token}"')
 def step_token(context, team, token):
     assert set(context.cluster.callers) == {(team, f"Bearer {token}")}, context.cluster.callers
 
--- a/tests/steps/client_steps.py
+++ b/tests/steps/client_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the callers' library."""
+"""Steps for the client library."""
 
 from functools import partial
 from logging import WARNING, getLogger
@@ -25,37 +25,37 @@
 REQUEST_BODY = b'{"hours": 2}'
 
 
-class StepClock:
-    """Time that passes only when somebody waits for it."""
+class SimulatedClock:
+    """A clock whose time advances only by sleeping, without a real wait."""
 
     def __init__(self) -> None:
         self.time_s = 0.0
         self.waits_s: list[float] = []
 
     def now_s(self) -> float:
-        """Tells the time."""
+        """Returns the simulated time in seconds."""
         return self.time_s
 
     async def sleep(self, duration_s: float) -> None:
-        """Lets the time pass at once."""
+        """Advances the time at once and records the wait."""
         self.waits_s.append(duration_s)
         self.time_s += duration_s
 
 
 class CallerSession:
-    """One caller's client; ``calls`` run one after the other in one event loop."""
+    """A caller with one client; its ``calls`` run one after the other in one event loop."""
 
     def __init__(self, daemons: dict[str, FakeDaemon]) -> None:
         self.daemons = daemons
-        self.clock = StepClock()
+        self.clock = SimulatedClock()
         self.transport = None
         self.calls = []
         self.answer = None
         self.error: ClientError | None = None
         self.done = False
 
-    def finish(self) -> None:
-        """Runs the calls unless they have run."""
+    def run_calls(self) -> None:
+        """Runs the calls unless they have already run."""
         if not self.done:
             self.done = True
             run(self._run_all)
@@ -77,8 +77,8 @@
     return [JobTask(f"t{number}", {"number": number}) for number in range(count)]
 
 
-async def pass_on(request):
-    """Sends a request over the network and returns the whole answer."""
+async def forward_request(request):
+    """Sends a request over the network and returns the complete answer."""
     async with AsyncHTTPTransport() as network:
         response = await network.handle_async_request(request)
         return Response(response.status_code, content=await response.aread())
@@ -90,8 +90,9 @@
     )
 
 
-def finish(context):
-    context.caller.finish()
+def run_caller(context):
+    """Runs the caller's calls unless they have already run, and returns the caller."""
+    context.caller.run_calls()
     return context.caller
 
 
@@ -114,31 +115,31 @@
     daemon.faults.extend(Fault[fault.strip()] for fault in faults.split(","))
 
 
-@given("every daemon answers without telling the length")
+@given("every daemon answers without a Content-Length")
 def step_no_length(context):
     body = b'{"ids": ["a-0"], "valid_for_s": 600}'
     context.caller.transport = MockTransport(lambda _: Response(200, stream=ByteStream(body)))
 
 
 @given('the caller knows only daemon "{name}"')
-def step_only(context, name):
+def step_single_known_daemon(context, name):
     context.caller.daemons = {name: context.caller.daemons[name]}
 
 
-@given("both daemons are gone once the job is accepted")
-def step_gone_after_acceptance(context):
+@given("both daemons are unreachable after the job is accepted")
+def step_unreachable_after_acceptance(context):
     async def refuse_polls(request):
         if request.method == "GET":
             raise ConnectError("connection refused")
-        return await pass_on(request)
+        return await forward_request(request)
 
     context.caller.transport = MockTransport(refuse_polls)
 
 
-@given("the caller's connection goes silent after its first submission")
-def step_silent_connection(context):
+@given("the answer to the caller's first submission times out")
+def step_first_answer_times_out(context):
     async def lose_first_answer(request):
-        response = await pass_on(request)
+        response = await forward_request(request)
         if len(context.cluster.arrivals) == 1:
             raise ReadTimeout("")
         return response
@@ -146,7 +147,7 @@
     context.caller.transport = MockTransport(lose_first_answer)
 
 
-@given("jobs that run never end")
+@given("running jobs never end")
 def step_never_ends(context):
     context.cluster.never_finishes = True
 
@@ -156,13 +157,13 @@
     context.cluster.valid_for_s = valid_for_s
 
 
-@given('daemon "{name}" is gone')
-def step_gone(context, name):
+@given('daemon "{name}" is down')
+def step_daemon_down(context, name):
     context.stops.pop(name)()
 
 
-@when('daemon "{name}" is gone')
-def step_goes(context, name):
+@when('daemon "{name}" goes down')
+def step_daemon_goes_down(context, name):
     async def stop(client):
         context.stops.pop(name)()
 
@@ -186,14 +187,14 @@
 
 
 @when('a caller submits {count:d} tasks under the identifier "{job_id}"')
-def step_submit_under(context, count, job_id):
+def step_submit_with_identifier(context, count, job_id):
     context.caller.calls.append(
         lambda client: client.submit("enquiry", make_tasks(count), job_id=job_id)
     )
 
 
 @when("a caller submits {count:d} tasks {times:d} times")
-def step_submit_often(context, count, times):
+def step_submit_repeatedly(context, count, times):
     for _ in range(times):
         add_submission(context.caller, count)
 
@@ -205,7 +206,7 @@
 
 @then("the caller gets {count:d} results in the order of submission")
 def step_results(context, count):
-    caller = finish(context)
+    caller = run_caller(context)
     assert caller.error is None, repr(caller.error)
     results = [(result.task_id, result.payload) for result in caller.answer.results]
     assert results == [(task.task_id, task.payload) for task in make_tasks(count)], results
@@ -213,41 +214,41 @@
 
 @then("the caller gets the endpoint's answer")
 def step_request_answer(context):
-    caller = finish(context)
+    caller = run_caller(context)
     assert caller.error is None, repr(caller.error)
     assert caller.answer.body == REQUEST_BODY, caller.answer
 
 
-@then('the submission ends as "{code}"')
-def step_ends_as(context, code):
-    caller = finish(context)
+@then('the submission fails with "{code}"')
+def step_submission_fails(context, code):
+    caller = run_caller(context)
     assert caller.answer is None, caller.answer
     assert caller.error.code == code, repr(caller.error)
 
 
 @then("the outcome is unknown to the caller")
 def step_outcome_unknown(context):
-    error = finish(context).error
+    error = run_caller(context).error
     assert isinstance(error, OutcomeUnknownError), repr(error)
 
 
-@then("each of {count:d} arrivals came over another connection")
+@then("each of {count:d} submissions came over a different connection")
 def step_connections(context, count):
-    finish(context)
+    run_caller(context)
     ports = context.cluster.caller_ports
     assert len(ports) == len(set(ports)) == count, ports
 
 
-@then('the arrivals were "{expected}"')
+@then('the submissions received were "{expected}"')
 def step_arrivals(context, expected):
-    finish(context)
+    run_caller(context)
     arrivals = " ".join(f"{daemon}:{job_id}" for daemon, job_id in context.cluster.arrivals)
     assert arrivals == expected, arrivals
 
 
-@then('only the identifier "{job_id}" has arrived')
+@then('only the identifier "{job_id}" was received')
 def step_only_identifier(context, job_id):
-    finish(context)
+    run_caller(context)
     assert {arrived for _, arrived in context.cluster.arrivals} == {
         job_id
     }, context.cluster.arrivals
@@ -255,25 +256,25 @@
 
 @then("the waits were between {least_s:g} and {most_s:g} seconds each")
 def step_waits(context, least_s, most_s):
-    waits_s = finish(context).clock.waits_s
+    waits_s = run_caller(context).clock.waits_s
     assert waits_s, "there was no wait"
     assert all(least_s <= wait_s <= most_s for wait_s in waits_s), waits_s
 
 
 @then("there were no waits")
 def step_no_waits(context):
-    assert finish(context).clock.waits_s == []
+    assert run_caller(context).clock.waits_s == []
 
 
-@then("identifiers were asked for {times:d} times")
+@then("identifiers were requested {times:d} times")
 def step_mint_calls(context, times):
-    finish(context)
+    run_caller(context)
     assert len(context.cluster.mint_calls) == times, context.cluster.mint_calls
 
 
-@then("all arrived contents are the same but for their waits")
-def step_contents(context):
-    finish(context)
+@then("all received bodies are the same except for wait_s")
+def step_same_bodies(context):
+    run_caller(context)
     contents = [{**body, "wait_s": 0} for body in context.cluster.contents]
     assert len(contents) == 2, contents
     assert contents[0] == contents[1], contents
--- a/tests/support/fake_daemon.py
+++ b/tests/support/fake_daemon.py
@@ -1,4 +1,4 @@
-"""Daemons that answer as docs/api.md says, with faults on demand, and no work behind them."""
+"""Fake daemons that answer as docs/api.md specifies, run no tasks and inject faults on demand."""
 
 import json
 from collections import deque
@@ -23,28 +23,31 @@
 
 
 class Fault(Enum):
-    """What a daemon does wrong with one submission or request."""
-
-    DROP = auto()  # takes the work, then closes the connection
-    TRUNCATE = auto()  # takes the work and closes the connection within the answer
-    OTHER_JOB = auto()  # answers with another job
-    OTHER_TASKS = auto()  # leaves out a result
-    WRONG_STATUS = auto()  # sends a whole answer with the status of an error
-    REFUSE = auto()  # 503 about this work, with Retry-After
-    REFUSE_UNREAD = auto()  # 503 before the work is looked at, with Retry-After
-    REFUSE_FOR_GOOD = auto()  # 422
-    UNKNOWN = auto()  # 504
-    FAIL = auto()  # 502
-    STAY_RUNNING = auto()  # 202
-    FORGET = auto()  # 202 for a job that is not known afterwards
-
-
-class BrokenConnection(Exception):  # noqa: N818 - it is no error of the tests
+    """Fault that a daemon injects into its answer to one submission, request or record change."""
+
+    DROP = auto()  # accepts the work, then closes the connection without an answer
+    TRUNCATE = auto()  # accepts the work, then closes the connection within the answer
+    OTHER_JOB = auto()  # answers with the identifier of another job
+    OTHER_TASKS = auto()  # leaves out the first result
+    WRONG_STATUS = auto()  # sends a complete answer with the status of an error
+    REFUSE = auto()  # 503 that names the work, with Retry-After
+    REFUSE_UNREAD = auto()  # 503 that names no work, as if it was not read, with Retry-After
+    REFUSE_FOR_GOOD = auto()  # 422 without Retry-After
+    UNKNOWN = auto()  # 504: the outcome is unknown
+    FAIL = auto()  # 502: the work failed
+    STAY_RUNNING = auto()  # 202: the job is running
+    FORGET = auto()  # 202, but the job is unknown to later calls
+
+
+class BrokenConnection(Exception):  # noqa: N818 - a signal to the server, not an error of a test
     """Makes the server close the connection."""
 
 
-class CutResponse(Response):
-    """Sends the head and a part of the body, then breaks the connection."""
+class TruncatedResponse(Response):
+    """Sends the headers and the first bytes of the body, then closes the connection.
+
+    :ivar sent_bytes: number of bytes of the body that are sent.
+    """
 
     sent_bytes = 0
 
@@ -59,14 +62,19 @@
 
 @dataclass
 class FakeCluster:
-    """What all fake daemons know.
-
-    :param arrivals: daemon and identifier of each submission or request that arrived.
-    :param never_finishes: whether jobs that run go on for ever.
-    :param contents: body of each submission that arrived.
-    :param caller_ports: the callers' end of the connection of each submission that arrived.
-    :param callers: team and authorization of each submission that arrived.
-    :param records: records by kind and name, with their revisions.
+    """State that all fake daemons share.
+
+    :param arrivals: daemon and identifier of each submission or request received.
+    :param minted: number of identifiers minted so far.
+    :param mint_calls: daemon of each call for identifiers.
+    :param valid_for_s: validity of the identifiers, as the daemons announce it.
+    :param jobs: answer of each job that stays running, by identifier.
+    :param never_finishes: whether running jobs never end.
+    :param records: revision and content of each record, by kind and name.
+    :param store_is_down: whether changes of records are refused as in an outage of the store.
+    :param contents: body of each submission received.
+    :param caller_ports: port at the caller's end of the connection of each submission received.
+    :param callers: team and ``Authorization`` header of each submission received.
     """
 
     arrivals: list[tuple[str, str]] = field(default_factory=list)
@@ -84,7 +92,10 @@
 
 
 class FakeDaemon:
-    """One daemon of the cluster."""
+    """One fake daemon.
+
+    :ivar faults: faults to inject, one for each submission, request or record change.
+    """
 
     def __init__(self, name: str, cluster: FakeCluster) -> None:
         self.name = name
@@ -125,24 +136,24 @@
         self.cluster.callers.append((headers["Berylproxy-Team"], headers.get("Authorization", "")))
         results = [{"id": task["id"], "payload": task["payload"]} for task in body["tasks"]]
         answer = make_answer(job_id, "done", results=results)
-        return self._spoil(answer) if self.faults else JSONResponse(answer)
+        return self._inject_fault(answer) if self.faults else JSONResponse(answer)
 
     async def _request(self, request: Request) -> Response:
         request_id = request.headers["Berylproxy-Request-Id"]
         self.cluster.arrivals.append((self.name, request_id))
         if self.faults:
-            return self._spoil(make_answer(request_id, "done"))
+            return self._inject_fault(make_answer(request_id, "done"))
         headers = {"Berylproxy-Outcome": "done", "Berylproxy-Request-Id": request_id}
         return Response(await request.body(), headers=headers, media_type="application/json")
 
-    def _spoil(self, answer: dict[str, Any]) -> Response:
-        """Applies the next fault to a work's answer."""
+    def _inject_fault(self, answer: dict[str, Any]) -> Response:
+        """Injects the next fault into an answer."""
         job_id = answer["id"]
         match self.faults.popleft():
             case Fault.DROP:
-                return make_cut(answer, 0)
+                return make_truncated_response(answer, 0)
             case Fault.TRUNCATE:
-                return make_cut(answer, len(json.dumps(answer)) // 2)
+                return make_truncated_response(answer, len(json.dumps(answer)) // 2)
             case Fault.OTHER_JOB:
                 headers = {"Berylproxy-Outcome": "done", "Berylproxy-Request-Id": "other"}
                 return JSONResponse({**answer, "id": "other"}, headers=headers)
@@ -165,7 +176,7 @@
                 return JSONResponse({"id": job_id, "state": "running", "outcome": None}, 202)
             case Fault.FORGET:
                 return JSONResponse({"id": job_id, "state": "running", "outcome": None}, 202)
-        raise AssertionError("no such fault")
+        raise AssertionError("unknown fault")
 
     async def _fetch(self, request: Request) -> Response:
         job_id = request.path_params["id"]
@@ -205,7 +216,7 @@
         self.cluster.revision += 1
         self.cluster.records[read_key(request)] = (self.cluster.revision, record)
         if self.faults:
-            return self._spoil(make_answer("", "done"))
+            return self._inject_fault(make_answer("", "done"))
         return JSONResponse({"revision": self.cluster.revision})
 
     async def _delete_record(self, request: Request) -> Response:
@@ -234,14 +245,14 @@
 
 
 def make_answer(job_id: str, outcome: str, **fields: Any) -> dict[str, Any]:
-    """Makes the body of a finished job."""
+    """Makes the body of a finished job's answer."""
     return {"id": job_id, "state": "finished", "outcome": outcome, "code": "", **fields}
 
 
 def make_error(
     job_id: str, outcome: str, code: str, status: int, retry_after_s: float | None
 ) -> Response:
-    """Makes an error as the daemon sends it."""
+    """Makes an error response like those of a real daemon."""
     body = make_answer(job_id, outcome, message=f"{code}\nit is", hint="", retry_after_s=None)
     body |= {"code": code, "retry_after_s": retry_after_s}
     headers = {"Berylproxy-Outcome": outcome}
@@ -250,35 +261,35 @@
     return JSONResponse(body, status, headers)
 
 
-def make_cut(answer: dict[str, Any], sent_bytes: int) -> Response:
-    """Makes an answer that ends too soon."""
-    response = CutResponse(json.dumps(answer), media_type="application/json")
+def make_truncated_response(answer: dict[str, Any], sent_bytes: int) -> Response:
+    """Makes a response of which only the first bytes of the body are sent."""
+    response = TruncatedResponse(json.dumps(answer), media_type="application/json")
     response.sent_bytes = sent_bytes
     return response
 
 
 def check_record(record: dict[str, Any]) -> Response | None:
-    """Refuses a record that refers to the pool that does not exist."""
+    """Returns an error response for a record that refers to a missing pool, else ``None``."""
     if record.get("pool") != MISSING_POOL:
         return None
     return make_error("", "not_run", "record_invalid", 422, None)
 
 
 def read_key(request: Request) -> tuple[str, str]:
-    """Reads a record's kind and name from the path."""
+    """Returns a record's kind and name from the request's path."""
     return request.path_params["kind"], request.path_params["name"]
 
 
 @contextmanager
 def serve_daemon(portal: BlockingPortal, daemon: FakeDaemon) -> Iterator[None]:
-    """Serves one daemon on a port that the kernel picks."""
+    """Serves one daemon on a free port of the loopback address."""
     listener = socket()
     listener.bind(("127.0.0.1", 0))
     daemon.base_url = f"http://127.0.0.1:{listener.getsockname()[1]}"
     config = Config()
-    listener.listen()  # from now on calls wait instead of being refused
+    listener.listen()  # calls made before the server is ready wait instead of being refused
     config.bind = [f"fd://{listener.detach()}"]  # the server closes it
-    config.errorlog = None  # the broken connections are meant
+    config.errorlog = None  # closing connections by an exception is intended
     config.graceful_timeout = 0.1
     stopping = portal.call(Event)
     serving = portal.start_task_soon(
@@ -293,7 +304,7 @@
 
 @contextmanager
 def serve_daemons(*daemons: FakeDaemon) -> Iterator[None]:
-    """Serves daemons from a thread of their own."""
+    """Serves daemons from a separate thread."""
     with start_blocking_portal() as portal, ExitStack() as stack:
         for daemon in daemons:
             stack.enter_context(serve_daemon(portal, daemon))
--- a/tests/support/guarded_cluster.py
+++ b/tests/support/guarded_cluster.py
@@ -1,4 +1,4 @@
-"""The cluster with tokens, keys and traces that the border's features share."""
+"""A cluster with tokens, peer keys and traces, shared by the features about access to daemons."""
 
 import json
 from hashlib import sha256
@@ -21,7 +21,7 @@
 
 
 class GuardedCluster(Cluster):
-    """Daemons that ask operators, teams and each other who they are."""
+    """Cluster whose daemons authenticate operators, teams and each other."""
 
     def __init__(self, folder: Path) -> None:
         self.trace_path = folder / "traces.jsonl"
@@ -37,7 +37,7 @@
         self.client.headers.update(OPERATOR | {"Berylproxy-Team": OPEN_TEAM})
 
     def write_records(self) -> None:
-        """Applies the teams' records too."""
+        """Applies the records of the base class and those of the teams."""
         super().write_records()
         quotas = {"schema_version": 1, "max_running_tasks": 100, "max_waiting_tasks": 100}
         self.apply("teams", OPEN_TEAM, quotas)
@@ -48,7 +48,12 @@
     def call(
         self, method: str, path: str, *, daemon: int = 0, team: str = "", **options
     ) -> Response:
-        """Calls a daemon, with the token of a team if one is named."""
+        """Calls a daemon.
+
+        :param daemon: index of the daemon.
+        :param team: team whose name and token are sent; empty sends the operator's token and the
+            name of a team that needs no token.
+        """
         headers = options.pop("headers", {})
         if team:
             token = TEAM_TOKENS[team]
@@ -56,7 +61,7 @@
         return self.client.request(method, self.url(daemon) + path, headers=headers, **options)
 
     def mint(self, daemon: int = 0, team: str = "") -> str:
-        """Takes one identifier."""
+        """Has a daemon mint one identifier."""
         response = self.call("POST", "/v1/job-ids", daemon=daemon, team=team, json={})
         return response.json()["ids"][0]
 
@@ -68,21 +73,21 @@
         return self.call("POST", "/v1/jobs", daemon=daemon, team=team, json=body, **options)
 
     def read_log(self, name: str) -> str:
-        """Reads what a daemon has logged."""
+        """Returns a daemon's log so far."""
         return (self.folder / f"{name}.stderr").read_text()
 
     def read_spans(self, trace_id: str) -> list[dict]:
-        """Reads the spans of a trace that are in the file."""
+        """Returns the spans of a trace that are in the trace file so far."""
         if not self.trace_path.exists():
             return []
-        # The last piece may be a line that is being written.
+        # The last line may be incomplete, as it is still being written.
         lines = self.trace_path.read_text().split("\n")[:-1]
         spans = [json.loads(line) for line in lines]
         return [span for span in spans if span["context"]["trace_id"] == f"0x{trace_id}"]
 
 
 def share_guarded_cluster(context) -> GuardedCluster:
-    """Returns the cluster of the test run, which the first scenario starts."""
+    """Returns the cluster that all scenarios of the test run share; starts it at the first call."""
     if not _SHARED:
         cluster = GuardedCluster(Path(mkdtemp(prefix="berylproxy-border-")))
         context.add_cleanup(cluster.stop, layer="testrun")
