--- a/berylproxy/collect/__init__.py
+++ b/berylproxy/collect/__init__.py
@@ -1,1 +1,1 @@
-"""Gathers the results of a job's tasks into its single answer."""
+"""Collects the results of a job's tasks into a single answer."""
--- a/berylproxy/collect/job.py
+++ b/berylproxy/collect/job.py
@@ -1,4 +1,4 @@
-"""A job at its home: its tasks' results on the way to one answer."""
+"""State of a job at its home daemon, which collects the task results into one answer."""
 
 from dataclasses import dataclass, replace
 
@@ -11,12 +11,12 @@
 ANSWER_TOO_LARGE_CODE = "answer_too_large"
 JOB_OVERHEAD_BYTES = 1_500
 RESULT_OVERHEAD_BYTES = 200
-NEW_ID_HINT = "this id is used up, take a new one"
+NEW_ID_HINT = "this id has been used; submit again under a new one"
 
 
 @dataclass(frozen=True, slots=True)
 class DemandKey:
-    """Tasks that may take each other's slot grant.
+    """Identifies tasks that may use each other's slot grants.
 
     :param needs: resources by name, sorted.
     """
@@ -28,9 +28,9 @@
 
 @dataclass(slots=True, eq=False)
 class TaskRun:
-    """One task of a job at its home.
+    """A task of a job at its home daemon.
 
-    :param attempts: how many times it has been sent to an endpoint.
+    :param attempts: number of times that the task was sent to an endpoint.
     """
 
     job: "Job"
@@ -40,12 +40,12 @@
 
 
 class Job:
-    """Gathers the results of a job's tasks into its single answer.
+    """Collects the results of a job's tasks into its single answer.
 
     The answer is set once and never changes. It is complete or failed, never partial.
 
-    :param accepted_s: the clock's time of its acceptance.
-    :param timeout_s: time from then on after which it is given up on.
+    :param accepted_s: time of acceptance, on the daemon's clock.
+    :param timeout_s: time after acceptance at which the job is abandoned.
     """
 
     def __init__(self, submission: Submission, accepted_s: float, timeout_s: float) -> None:
@@ -68,7 +68,7 @@
 
     @property
     def answer_bytes(self) -> int:
-        """Roughly how much memory the kept answer takes."""
+        """Approximate memory use of the retained answer."""
         results = self.answer.results if self.answer is not None else ()
         return JOB_OVERHEAD_BYTES + sum(
             len(result.body) + RESULT_OVERHEAD_BYTES for result in results
@@ -85,15 +85,15 @@
         return self._started_tasks > 0
 
     def note_start(self) -> None:
-        """Notes that a task is about to be sent, after which "not run" can't be said."""
+        """Records that a task is about to be sent: the job can no longer end as "not run"."""
         self._started_tasks += 1
 
     def note_refusal(self) -> None:
-        """Notes that a task that was sent has certainly not started."""
+        """Records that a task that was sent has certainly not started."""
         self._started_tasks -= 1
 
     def add_result(self, result: TaskResult, now_s: float) -> None:
-        """Takes a task's end; the last result, or the first bad one, finishes the job."""
+        """Adds a task's result; the last one, or the first that is not "done", finishes the job."""
         if self.is_finished:
             return
         if result.outcome is not Outcome.DONE:
@@ -122,7 +122,7 @@
     ) -> None:
         """Finishes the job without results.
 
-        "Not run" becomes "failed" when another task of the job may have started.
+        The outcome "not run" becomes "failed" if any task of the job may have started.
         """
         if self.is_finished:
             return
@@ -135,7 +135,7 @@
         self._finish(answer, now_s)
 
     def cancel(self, now_s: float) -> None:
-        """Finishes the job at the caller's wish."""
+        """Finishes the job on the caller's request."""
         self.fail(Outcome.NOT_RUN, "cancelled", "cancelled by the caller", now_s)
 
     def refuse(self, error: BerylproxyError, now_s: float) -> None:
@@ -145,7 +145,7 @@
         )
 
     def drop_tasks(self) -> None:
-        """Frees what only an unfinished job needs."""
+        """Frees the tasks, which only an unfinished job needs."""
         self.runs = []
         self.submission = replace(self.submission, tasks=())
 
--- a/berylproxy/pipeline.py
+++ b/berylproxy/pipeline.py
@@ -185,7 +185,7 @@
     async def run(self, task_group: TaskGroup) -> None:
         """Moves tasks and messages on until cancelled."""
         self._task_group = task_group
-        self._dispatcher.bind(task_group)
+        self._dispatcher.set_task_group(task_group)
         task_group.start_soon(self._tick)
         while True:
             await self._changed.wait()
--- a/berylproxy/platform/__init__.py
+++ b/berylproxy/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The users' platform: its names and protocols are decoded here and nowhere else."""
+"""Adapter for the users' platform: the only package that knows its names and protocols."""
--- a/berylproxy/platform/__main__.py
+++ b/berylproxy/platform/__main__.py
@@ -16,7 +16,7 @@
 
 
 def main(env: Environment) -> ExitStatus:
-    """Runs the daemon until it is told to stop."""
+    """Loads the settings and runs the daemon until a signal stops it."""
     path = env.variables.get(SETTINGS_VARIABLE, "")
     try:
         settings = load_platform_settings(path)
@@ -29,8 +29,8 @@
     with handler.applicationbound():
         try:
             run(PlatformDaemon(settings, path).run)
-        except Exception:  # the platform starts the process anew; the cause must not be lost
-            logger.exception("the daemon ends")
+        except Exception:  # the platform restarts the process; the cause must be in the log
+            logger.exception("the daemon failed")
             return ExitStatus.INTERNAL_ERROR
     return ExitStatus.SUCCESS
 
--- a/berylproxy/platform/callers.py
+++ b/berylproxy/platform/callers.py
@@ -1,4 +1,4 @@
-"""The platform's HTTP interface for callers and for the balancer, as an ASGI application."""
+"""ASGI application for callers, the load balancer and operators of the users' platform."""
 
 from collections.abc import Awaitable, Callable
 from time import monotonic
@@ -24,17 +24,20 @@
 
 READY_PATH = "/-/ready"
 METRICS_PATH = "/metrics"
-STATUS_PATH = "/v1/status"  # as on the product's own daemons, so that berylctl reads both
-WAIT_HEADER = b"berylproxy-deadline-ms"
-LONGEST_WAIT_S = 30.0
-LONGEST_BODY_S = 5.0  # 256 KB at 0.4 Mbit/s, below the slowest links known
-ANSWER_MARGIN_S = 0.05  # for the way back to the caller
+STATUS_PATH = (
+    "/v1/status"  # same path as on the product's own daemons, so that berylctl can query both
+)
+# Despite its name, the header holds a duration in milliseconds and not a point in time.
+WAIT_TIME_HEADER = b"berylproxy-deadline-ms"
+MAX_WAIT_S = 30.0
+BODY_TIMEOUT_S = 5.0  # 256 KB at 0.4 Mbit/s, which is slower than the slowest known links
+RESPONSE_MARGIN_S = 0.05  # reserved for sending the response to the caller
 JOB_ID_CHARACTERS = 16
-MAX_PAYLOAD_BYTES = 4_000  # runners refuse longer ones
+MAX_PAYLOAD_BYTES = 4_000  # runners reject longer payloads
 MAX_STEPS = 64
 MAX_TASKS_PER_STEP = 10_000
-# "speculative" allows copies and "image" groups tasks; neither asks for anything. "may-miss" bounds
-# what is done to lasting tasks, which are refused.
+# "speculative" permits duplicate runs and "image" groups tasks: neither requires anything, so both
+# are ignored. "may-miss" only limits what is done to persistent tasks, which are rejected anyway.
 UNSUPPORTED_STEP_FIELDS = ("persistent", "target-ms", "fills")
 UNSUPPORTED_JOB_FIELDS = ("repeats",)
 
@@ -45,30 +48,30 @@
 
 
 class RequestInvalidError(BerylproxyError):
-    """The body is no job."""
+    """The request body is not a valid job."""
 
     code = "request_invalid"
 
 
 class BodyTooSlowError(BerylproxyError):
-    """The caller has not sent the whole body in time."""
+    """The caller did not send the whole request body in time."""
 
     code = "body_too_slow"
 
 
 class JobUnsupportedError(BerylproxyError):
-    """The job asks for what this version can't do."""
+    """The job requires a feature that this version does not support."""
 
     code = "job_unsupported"
 
 
-class PlatformCallers:
-    """Answers callers.
+class CallerApplication:
+    """Serves the platform's HTTP API.
 
-    :param configuration: returns the configuration in force; version 0 while there is none.
-    :param is_ready: tells whether the daemon takes new connections.
-    :param is_stopping: tells whether connections are to be closed after their answer.
-    :param describe: describes the daemon for operators.
+    :param configuration: returns the current configuration; its version is 0 until one is loaded.
+    :param is_ready: returns whether the daemon accepts new connections.
+    :param is_stopping: returns whether connections are closed after their response.
+    :param describe: returns the daemon's status for operators.
     """
 
     def __init__(
@@ -86,84 +89,86 @@
         self._is_stopping = is_stopping
         self._telemetry = telemetry
         self._describe = describe
-        self._running = 0
+        self._open_requests = 0
         self._idle = Event()
-        self._given_up = Event()
+        self._waiting_abandoned = Event()
 
     async def wait_until_idle(self) -> None:
         """Waits until no request is being served."""
-        while self._running:
+        while self._open_requests:
             await self._idle.wait()
 
-    def give_up(self) -> None:
-        """Answers the requests that wait for the end of a job at once, as unknown."""
-        self._given_up.set()
+    def abandon_waiting_requests(self) -> None:
+        """Ends requests that wait for a job: they are answered at once with an unknown outcome."""
+        self._waiting_abandoned.set()
 
     async def __call__(self, scope: dict[str, Any], receive: Receive, send: Send) -> None:
-        """Serves one request."""
+        """Handles one ASGI scope: a request or the lifespan protocol."""
         if scope["type"] == "lifespan":
             await _serve_lifespan(receive, send)
             return
         if scope["type"] != "http":
             return
         if scope["path"] == READY_PATH:
-            await self._answer(send, 200 if self._is_ready() else 503)
+            await self._send_response(send, 200 if self._is_ready() else 503)
             return
         if scope["server"][1] == METRICS_PORT:
             await self._serve_operators(scope, send)
             return
-        self._running += 1
+        self._open_requests += 1
         started_s = monotonic()
         try:
-            await self._serve_or_explain(scope, receive, send)
+            await self._serve_with_error_responses(scope, receive, send)
         finally:
             self._telemetry.observe_request(scope["method"], monotonic() - started_s)
-            self._running -= 1
-            if not self._running:
+            self._open_requests -= 1
+            if not self._open_requests:
                 self._idle.set()
                 self._idle = Event()
 
     async def _serve_operators(self, scope: dict[str, Any], send: Send) -> None:
         if scope["path"] == METRICS_PATH:
-            await self._answer_metrics(scope, send)
+            await self._send_metrics(scope, send)
         elif scope["path"] == STATUS_PATH:
-            await self._answer(send, 200, self._describe())
+            await self._send_response(send, 200, self._describe())
         else:
             error = f"nothing at {scope['path'][:64]}; see {METRICS_PATH} and {STATUS_PATH}"
-            await self._answer(send, 404, {"error": error})
+            await self._send_response(send, 404, {"error": error})
 
-    async def _answer_metrics(self, scope: dict[str, Any], send: Send) -> None:
+    async def _send_metrics(self, scope: dict[str, Any], send: Send) -> None:
         accepted = [value.decode() for name, value in scope["headers"] if name == b"accept"]
         body, media_type = self._telemetry.metrics.scrape(accepted)
         headers = [(b"content-type", media_type.encode())]
         await send({"type": "http.response.start", "status": 200, "headers": headers})
         await send({"type": "http.response.body", "body": body})
 
-    async def _serve_or_explain(self, scope: dict[str, Any], receive: Receive, send: Send) -> None:
+    async def _serve_with_error_responses(
+        self, scope: dict[str, Any], receive: Receive, send: Send
+    ) -> None:
         try:
             await self._serve(scope, receive, send)
         except RequestInvalidError as error:
-            await self._answer(send, 400, {"error": error.message})
+            await self._send_response(send, 400, {"error": error.message})
         except BodyTooSlowError as error:
-            logger.info("request ended: {}", error.message, extra={"path": scope["path"]})
-            await self._answer(send, 408, {"error": error.message}, closes=True)
+            logger.info("request aborted: {}", error.message, extra={"path": scope["path"]})
+            await self._send_response(send, 408, {"error": error.message}, closes=True)
         except JobUnsupportedError as error:
-            logger.warning("job not taken: {}", error.message, extra={"path": scope["path"]})
-            await self._answer(send, 503, {"error": error.message})
+            logger.warning("job rejected: {}", error.message, extra={"path": scope["path"]})
+            await self._send_response(send, 503, {"error": error.message})
         except NotAcceptedError as error:
             status = 429 if isinstance(error, OverloadedError) else 503
-            await self._answer(send, status, {"error": error.message}, error.retry_after_s)
+            await self._send_response(send, status, {"error": error.message}, error.retry_after_s)
         except NotKnownError as error:
             status = 504 if scope["method"] in ("POST", "DELETE") else 503
-            await self._answer(send, status, {"error": error.message}, 1.0)
+            await self._send_response(send, status, {"error": error.message}, 1.0)
         except BerylproxyError as error:
             logger.error("request failed: {}: {}", error.code, error.message)
-            await self._answer(send, 504, {"error": error.message})
+            await self._send_response(send, 504, {"error": error.message})
 
     async def _serve(self, scope: dict[str, Any], receive: Receive, send: Send) -> None:
         configuration = self._configuration()
         if not configuration.version:
-            await self._answer(send, 503, {"error": "no configuration yet"}, 1.0)
+            await self._send_response(send, 503, {"error": "no configuration yet"}, 1.0)
             return
         headers = dict(scope["headers"])
         host = headers.get(b"host", b"").decode("latin-1").lower()
@@ -172,19 +177,19 @@
         if route is None and ":" in host:
             route = configuration.find_route(host.rpartition(":")[0], path)
         if route is None:
-            await self._answer(send, 404, {"error": "no such queue"})
+            await self._send_response(send, 404, {"error": "no such queue"})
             return
         job_id = path[len(route.prefix) :]
         logger.debug("headers {}", headers)
-        wait_s = _read_wait_s(headers, route) - ANSWER_MARGIN_S
+        wait_s = _parse_wait_s(headers, route) - RESPONSE_MARGIN_S
         method = scope["method"]
         if method == "GET" and not job_id:
             count = await self._frontend.count_pending(
                 route.terms.service, route.terms.queue, wait_s
             )
-            await self._answer(send, 200, {"pending": count})
+            await self._send_response(send, 200, {"pending": count})
         elif len(job_id) != JOB_ID_CHARACTERS:
-            await self._answer(send, 404, {"error": "no such job"})
+            await self._send_response(send, 404, {"error": "no such job"})
         elif method == "POST":
             body = await _read_body(receive, configuration.max_body_bytes)
             if route.needs_advice:
@@ -192,29 +197,29 @@
             job = decode_job(job_id, route, body)
             if job.is_durable:
                 await self._frontend.submit_durable(job, wait_s)
-                await self._answer(send, 200, {})
+                await self._send_response(send, 200, {})
             else:
                 state = await self._run_best_effort(job, wait_s, receive)
                 if state is not None:
-                    await self._answer(send, 200, {"state": state.value})
+                    await self._send_response(send, 200, {"state": state.value})
         elif method == "GET":
-            services = _order_services(configuration, route)
+            services = _list_services(configuration, route)
             state = await self._frontend.find_state(services, job_id, wait_s)
             if state is None:
-                await self._answer(send, 410, {"error": "no such job"})
+                await self._send_response(send, 410, {"error": "no such job"})
             else:
-                await self._answer(send, 200, {"state": state.value})
+                await self._send_response(send, 200, {"state": state.value})
         elif method == "DELETE":
-            services = _order_services(configuration, route)
+            services = _list_services(configuration, route)
             state = await self._frontend.cancel(services, job_id, wait_s)
-            await self._answer(send, 410 if state is None else 200, {})
+            await self._send_response(send, 410 if state is None else 200, {})
         else:
-            await self._answer(send, 405, {"error": "POST, GET and DELETE are served"})
+            await self._send_response(send, 405, {"error": "POST, GET and DELETE are served"})
 
     async def _run_best_effort(
         self, job: JobSpec, wait_s: float, receive: Receive
     ) -> JobState | None:
-        """Carries a job out unless the caller goes away first: ``None`` then."""
+        """Runs a best-effort job; returns ``None`` if the caller disconnects before its end."""
         states, errors = [], []
 
         async def run_best_effort() -> None:
@@ -225,8 +230,8 @@
             task_group.cancel_scope.cancel()
 
         async def wait_for_stop() -> None:
-            await self._given_up.wait()
-            errors.append(NotKnownError("the daemon stops before the job's end"))
+            await self._waiting_abandoned.wait()
+            errors.append(NotKnownError("the daemon stopped before the end of the job"))
             task_group.cancel_scope.cancel()
 
         async with create_task_group() as task_group:
@@ -241,7 +246,7 @@
             raise errors[0]
         return None
 
-    async def _answer(
+    async def _send_response(
         self,
         send: Send,
         status: int,
@@ -264,10 +269,10 @@
 
 
 def decode_job(job_id: str, route: JobRoute, body: bytes) -> JobSpec:
-    """Decodes a job.
+    """Decodes a job from a request body.
 
-    :raises RequestInvalidError: if the body is no job.
-    :raises JobUnsupportedError: if it asks for what can't be done.
+    :raises RequestInvalidError: if the body is not a valid job.
+    :raises JobUnsupportedError: if the job requires an unsupported feature.
     """
     try:
         content = orjson.loads(body)
@@ -284,12 +289,12 @@
     if not isinstance(rows, list) or not 0 < len(rows) <= MAX_STEPS:
         raise RequestInvalidError(f"steps must be a list of 1 to {MAX_STEPS}")
     steps = tuple(_decode_step(number, row) for number, row in enumerate(rows))
-    # A job with "best-effort" is answered when it has ended, and need not be stored.
+    # A "best-effort" job is answered when it ends and is never stored.
     return JobSpec(job_id, route.terms, payload, steps, is_kept=not content.get("best-effort"))
 
 
 def _count_bytes(text: str) -> int:
-    """Counts the bytes of a text in UTF-8, in which a lone surrogate of JSON takes three."""
+    """Returns the size of a text in UTF-8; a lone surrogate from JSON counts three bytes."""
     return len(text.encode("utf-8", "surrogatepass"))
 
 
@@ -329,38 +334,38 @@
         required_label=row.get("requires", ""),
         preferred_rack=row.get("affinity", ""),
         stays_in_rack=bool(row.get("rack-local")),
-        # "max-per-server" counts tasks of the step on one runner.
+        # The platform's "max-per-server" limits the tasks of this step on one runner (endpoint).
         max_per_endpoint=most,
         saves_progress=bool(row.get("checkpoint")),
     )
 
 
-def _read_wait_s(headers: dict[bytes, bytes], route: JobRoute) -> float:
-    text = headers.get(WAIT_HEADER, b"")
+def _parse_wait_s(headers: dict[bytes, bytes], route: JobRoute) -> float:
+    text = headers.get(WAIT_TIME_HEADER, b"")
     if not text.isdigit():
         return route.timeout_s
-    return min(int(text) / 1000, LONGEST_WAIT_S)
+    return min(int(text) / 1000, MAX_WAIT_S)
 
 
-def _order_services(configuration: PlatformConfiguration, route: JobRoute) -> list[str]:
-    """Lists all services, the route's own first: its service may have changed meanwhile."""
+def _list_services(configuration: PlatformConfiguration, route: JobRoute) -> list[str]:
+    """Lists the route's service first, then all others: the route may have changed its service."""
     own = route.terms.service
     return [own, *(service for service in configuration.services if service != own)]
 
 
 async def _read_body(receive: Receive, max_bytes: int) -> bytes:
     body, has_more = bytearray(), True
-    with move_on_after(LONGEST_BODY_S):
+    with move_on_after(BODY_TIMEOUT_S):
         while has_more:
             message = await receive()
             if message["type"] == "http.disconnect":
-                raise RequestInvalidError("the caller went away before the end of the body")
+                raise RequestInvalidError("the caller disconnected before the end of the body")
             body += message.get("body", b"")
             if len(body) > max_bytes:
                 raise RequestInvalidError(f"the body is larger than {max_bytes} bytes")
             has_more = message.get("more_body", False)
     if has_more:
-        raise BodyTooSlowError(f"the body did not come within {LONGEST_BODY_S:g} s")
+        raise BodyTooSlowError(f"the body was not received within {BODY_TIMEOUT_S:g} s")
     return bytes(body)
 
 
--- a/berylproxy/platform/configuration.py
+++ b/berylproxy/platform/configuration.py
@@ -1,4 +1,4 @@
-"""The operator's configuration, as the platform's store holds it."""
+"""Decodes the operator's configuration from the platform's store."""
 
 from dataclasses import dataclass, field
 from typing import Any
@@ -7,20 +7,20 @@
 
 from berylproxy.durable.models import QueueTerms
 from berylproxy.errors import BerylproxyError
-from berylproxy.platform.settings import _to_key
+from berylproxy.platform.settings import to_kebab_case
 
 CONFIGURATION_KEY = "op/config"
 DEFAULT_MAX_BODY_BYTES = 262_144
 
 
 class ConfigurationInvalidError(BerylproxyError):
-    """The configuration can't be read; the one in force stays."""
+    """The configuration can't be decoded; the current one stays in force."""
 
     code = "configuration_invalid"
 
 
 class _Table(BaseModel):
-    model_config = ConfigDict(extra="ignore", alias_generator=_to_key, frozen=True)
+    model_config = ConfigDict(extra="ignore", alias_generator=to_kebab_case, frozen=True)
 
 
 class _Route(_Table):
@@ -29,7 +29,8 @@
     prefix: str
     service: str
     timeout_ms: int = 1500
-    # "target-latency-ms" is only the constant part of a job's objective.
+    # Despite its name only the constant part of a job's latency objective; "stretch" is the factor
+    # of the part that grows with the job.
     target_latency_ms: float = 0.0
     priority: int = 0
     max_attempts: int = 1
@@ -54,11 +55,11 @@
 
 @dataclass(frozen=True, slots=True)
 class JobRoute:
-    """Where callers reach a queue.
+    """Maps a host and a path prefix to a queue.
 
-    :param prefix: what the path begins with; the job's identifier follows.
-    :param timeout_s: how long a caller waits for an answer that doesn't tell itself.
-    :param needs_advice: whether only an outside service knows which endpoints may run the tasks.
+    :param prefix: start of the request path; the job's identifier follows.
+    :param timeout_s: how long to wait for a result if the request doesn't specify a time.
+    :param needs_advice: whether an external service decides which endpoints may run the tasks.
     """
 
     host: str
@@ -79,7 +80,7 @@
     _by_host: dict[str, list[JobRoute]] = field(default_factory=dict)
 
     def find_route(self, host: str, path: str) -> JobRoute | None:
-        """Finds the route with the longest prefix that the path begins with."""
+        """Returns the route with the longest prefix that matches the path."""
         for route in self._by_host.get(host, ()):
             if path.startswith(route.prefix):
                 return route
@@ -89,7 +90,7 @@
 def decode_configuration(value: bytes) -> PlatformConfiguration:
     """Decodes a version of the configuration.
 
-    :raises ConfigurationInvalidError: if it can't be read.
+    :raises ConfigurationInvalidError: if it can't be decoded.
     """
     try:
         file = _Configuration.model_validate_json(value)
@@ -102,7 +103,7 @@
     for route in sorted(routes, key=lambda route: -len(route.prefix)):
         by_host.setdefault(route.host.lower(), []).append(route)
     services = dict.fromkeys(
-        [*(service.name for service in file.services), *(r.terms.service for r in routes)]
+        [*(service.name for service in file.services), *(route.terms.service for route in routes)]
     )
     return PlatformConfiguration(
         file.version, routes, tuple(services), file.limits.max_body_bytes, by_host
--- a/berylproxy/platform/daemon.py
+++ b/berylproxy/platform/daemon.py
@@ -1,4 +1,4 @@
-"""Builds the daemon for the users' platform from its parts and runs it until a planned stop."""
+"""Assembles the daemon for the users' platform and runs it until a planned stop."""
 
 import signal
 from asyncio import CancelledError, InvalidStateError
@@ -25,7 +25,7 @@
 from berylproxy.peers.codec import MessageCodec
 from berylproxy.peers.network import TcpPeerNetwork
 from berylproxy.peers.settings import PeerSettings
-from berylproxy.platform.callers import PlatformCallers
+from berylproxy.platform.callers import CallerApplication
 from berylproxy.platform.configuration import (
     CONFIGURATION_KEY,
     ConfigurationInvalidError,
@@ -33,25 +33,29 @@
     decode_configuration,
 )
 from berylproxy.platform.endpoints import PlatformEndpoints
-from berylproxy.platform.reload import SettingsReader
+from berylproxy.platform.reload import SettingsWatcher
 from berylproxy.platform.settings import PlatformSettings
 from berylproxy.platform.store import PlatformStore
 from berylproxy.store.errors import StoreCompactedError, StoreLeaseLapsedError
 from berylproxy.store.port import StoreError
 
-PEER_KEY_KEY = ROOT + "peer-key"
+PEER_KEY_RECORD = ROOT + "peer-key"
 MEMBER_PREFIX = ROOT + "members/"
 PEER_KEY_BYTES = 32
-MEMBER_LEASE_S = 6.0  # a lost VM leaves the list in that time
-MEMBER_RENEWAL_S = 2.0
+MEMBER_LEASE_S = 6.0  # a lost VM is removed from the list within this time
+MEMBER_RENEWAL_INTERVAL_S = 2.0
 MEMBER_LIST_INTERVAL_S = 1.0
-CONFIGURATION_WAIT_S = 0.9  # a silent watch shows within the 2 s in which a version must hold
-RETRY_PAUSE_S = 0.1
+CONFIGURATION_WATCH_S = (
+    0.9  # a hung watch is detected within the 2 s in which a version must take effect
+)
+RETRY_DELAY_S = 0.1
 INCARNATION_BYTES = 6
-STORE_SILENCE_S = 3.0  # without store and holder for longer, new callers go elsewhere
-BALANCER_NOTICE_S = 2.5  # the balancer asks once a second and believes two misses
-ANSWERING_SHARE = 0.85  # of the grace time; what is unfinished then is answered as unknown
-LAST_ANSWERS_S = 0.4  # for the last answers to be written
+MAX_STORE_SILENCE_S = (
+    3.0  # without store and holder for longer, the daemon is not ready for new callers
+)
+BALANCER_DETECTION_S = 2.5  # the load balancer probes once a second and reacts to two failures
+DRAIN_SHARE = 0.85  # of the grace time; jobs unfinished after it are answered as unknown
+LAST_RESPONSES_TIMEOUT_S = 0.4  # for writing the last responses
 
 logger = Logger(__name__)
 
@@ -61,18 +65,18 @@
 
     def __init__(self, settings: PlatformSettings, settings_path: str) -> None:
         self._settings = settings
-        self._settings_reader = SettingsReader(settings_path, settings, self._take_settings)
+        self._settings_watcher = SettingsWatcher(settings_path, settings, self._apply_settings)
         self._clock = MonotonicClock()
         self._store = PlatformStore(settings.store_address)
         self._configuration = PlatformConfiguration()
-        self._listed: dict[str, str] = {}
+        self._member_domains: dict[str, str] = {}
         self._is_stopping = False
         self._is_ready = True
         self._stopped = Event()
-        self._follow_groups = Event()
+        self._groups_changed = Event()
 
     async def run(self) -> None:
-        """Runs until SIGTERM, then stops without cutting a request in flight."""
+        """Runs until SIGTERM, then stops without aborting requests in flight."""
         settings = self._settings
         self._identity = DaemonIdentity(
             settings.daemon_id,
@@ -95,8 +99,8 @@
             self._endpoints,
             self._clock,
             settings.cores,
-            lambda: self._listed,
-            lambda: self._store.has_contact,
+            lambda: self._member_domains,
+            lambda: self._store.is_reachable,
             lambda states: self._frontend.record_ended_jobs(states),
             telemetry,
         )
@@ -105,22 +109,22 @@
         self._frontend = JobFrontend(
             self._network, self._coordinator, self._store, self._clock, telemetry
         )
-        self._callers = PlatformCallers(
+        self._application = CallerApplication(
             self._frontend,
             lambda: self._configuration,
-            self._check_ready,
+            self._is_accepting,
             lambda: self._is_stopping,
             telemetry,
             self._describe,
         )
         async with create_task_group() as task_group:
             await task_group.start(self._network.run)
-            task_group.start_soon(self._follow_configuration)
-            task_group.start_soon(self._follow_members)
-            task_group.start_soon(self._keep_groups)
+            task_group.start_soon(self._watch_configuration)
+            task_group.start_soon(self._maintain_membership)
+            task_group.start_soon(self._track_groups)
             task_group.start_soon(self._coordinator.run)
-            task_group.start_soon(self._settings_reader.run)
-            task_group.start_soon(self._follow_signals)
+            task_group.start_soon(self._settings_watcher.run)
+            task_group.start_soon(self._handle_signals)
             logger.info("serving on {}", settings.callers_address)
             await self._serve()
             task_group.cancel_scope.cancel()
@@ -136,112 +140,112 @@
         ]
         config.keep_alive_timeout = 60.0
         config.keep_alive_max_requests = 1_000_000
-        config.graceful_timeout = LAST_ANSWERS_S
+        config.graceful_timeout = LAST_RESPONSES_TIMEOUT_S
         config.accesslog = None
         config.errorlog = None
         config.include_server_header = False
         config.include_date_header = False
         try:
-            await serve(self._callers, config, shutdown_trigger=self._stopped.wait)
+            await serve(self._application, config, shutdown_trigger=self._stopped.wait)
         except (CancelledError, InvalidStateError):
             if not self._stopped.is_set():
                 raise
-            # hypercorn raises these when requests are left at the end of its graceful timeout
-            logger.warning("stopped with requests unanswered")
+            # hypercorn raises these if requests are still open at the end of its graceful timeout
+            logger.warning("stopped before all requests were answered")
 
     def _describe(self) -> dict[str, Any]:
         view = DaemonView(self._network, self._coordinator, self._clock)
         return view.describe(
             {
-                "ready": self._check_ready(),
+                "ready": self._is_accepting(),
                 "version": __version__,
                 "config_version": self._configuration.version,
                 "queues": [route.terms.queue for route in self._configuration.routes],
-                "store_ok": self._store.has_contact,
-                "store_heard_s_ago": round(monotonic() - self._store.heard_s, 3),
+                "store_ok": self._store.is_reachable,
+                "store_heard_s_ago": round(monotonic() - self._store.last_contact_s, 3),
             }
         )
 
-    def _take_settings(self, settings: PlatformSettings) -> None:
-        """Takes over what needs no other connections of callers, daemons or the balancer."""
+    def _apply_settings(self, settings: PlatformSettings) -> None:
+        """Applies the settings that take effect without a restart."""
         if settings.store_address != self._settings.store_address:
-            self._store.move(settings.store_address)
+            self._store.change_address(settings.store_address)
         self._endpoints.longest_lease_s = settings.longest_lease_s
         self._coordinator.cores = settings.cores
         self._coordinator.remote_factor = settings.remote_factor
         self._settings = settings
 
-    def _check_ready(self) -> bool:
+    def _is_accepting(self) -> bool:
         if self._is_stopping or not self._configuration.version:
             return False
-        store_silence_s = monotonic() - self._store.heard_s
+        store_silence_s = monotonic() - self._store.last_contact_s
         has_holder = any(
             self._coordinator.holder_incarnation(group) for group in self._coordinator.known
         )
-        return has_holder or store_silence_s < STORE_SILENCE_S
+        return has_holder or store_silence_s < MAX_STORE_SILENCE_S
 
     async def _fetch_peer_key(self) -> bytes:
-        """Reads the key that all daemons share, or makes it."""
+        """Returns the key that all daemons share; creates it if there is none yet."""
         while True:
             try:
-                entry = await self._store.get(PEER_KEY_KEY)
+                entry = await self._store.get(PEER_KEY_RECORD)
                 if entry is not None:
                     return entry.value
                 key = token_hex(PEER_KEY_BYTES).encode()
-                change = Transaction(((PEER_KEY_KEY, 0),), ((PEER_KEY_KEY, key),))
+                change = Transaction(((PEER_KEY_RECORD, 0),), ((PEER_KEY_RECORD, key),))
                 await self._store.commit(change)
                 return key
             except TransactionConflictError:
                 continue
             except StoreError as error:
                 logger.info("the store is not available yet: {}", error.message)
-                await sleep(RETRY_PAUSE_S)
+                await sleep(RETRY_DELAY_S)
 
-    async def _follow_configuration(self) -> None:
+    async def _watch_configuration(self) -> None:
         revision = 0
         while True:
             try:
                 if not revision:
                     revision = await self._read_configuration()
                 batch = await self._store.wait_for_changes(
-                    CONFIGURATION_KEY, revision, CONFIGURATION_WAIT_S
+                    CONFIGURATION_KEY, revision, CONFIGURATION_WATCH_S
                 )
                 for entry in batch.updates:
-                    self._take_configuration(entry.value)
+                    self._apply_configuration(entry.value)
                 revision = max(revision, batch.revision)
             except StoreCompactedError:
                 revision = 0
             except StoreError as error:
                 logger.debug("the configuration can't be read: {}", error.message)
                 revision = 0
-                await sleep(RETRY_PAUSE_S)
+                await sleep(RETRY_DELAY_S)
 
-    async def _keep_groups(self) -> None:
-        """Tells the member of new groups without delaying the configuration."""
+    async def _track_groups(self) -> None:
+        """Passes new groups to the coordinator without delaying the watch of the configuration."""
         while True:
-            await self._follow_groups.wait()
-            self._follow_groups = Event()
+            await self._groups_changed.wait()
+            self._groups_changed = Event()
             try:
                 is_complete = await self._coordinator.follow(set(self._configuration.services))
             except StoreError as error:
-                logger.info("the groups are not known yet: {}", error.message)
+                logger.info("the groups can't be loaded yet: {}", error.message)
                 is_complete = False
             if not is_complete:
-                self._follow_groups.set()
-                await sleep(RETRY_PAUSE_S)
+                self._groups_changed.set()
+                await sleep(RETRY_DELAY_S)
 
     async def _read_configuration(self) -> int:
         page = await self._store.read_page(CONFIGURATION_KEY)
         for entry in page.entries:
             if entry.key == CONFIGURATION_KEY:
-                self._take_configuration(entry.value)
+                self._apply_configuration(entry.value)
         return page.revision
 
-    def _take_configuration(self, value: bytes) -> None:
+    def _apply_configuration(self, value: bytes) -> None:
         try:
             configuration = decode_configuration(value)
         except ConfigurationInvalidError as error:
-            logger.error("configuration not taken: {}", error.message)
+            logger.error("configuration rejected: {}", error.message)
             return
         if configuration.version <= self._configuration.version:
             return
@@ -254,10 +258,10 @@
             },
         )
         self._configuration = configuration
-        self._follow_groups.set()
+        self._groups_changed.set()
 
-    async def _follow_members(self) -> None:
-        """Keeps this daemon in the store's list of members, and dials the others."""
+    async def _maintain_membership(self) -> None:
+        """Keeps this daemon in the store's list of members and connects to the others."""
         lease_id, renewed_s = 0, 0.0
         value = orjson.dumps(
             {
@@ -267,22 +271,26 @@
         )
         while True:
             try:
-                if not self._is_stopping and monotonic() - renewed_s >= MEMBER_RENEWAL_S:
+                if not self._is_stopping and monotonic() - renewed_s >= MEMBER_RENEWAL_INTERVAL_S:
                     if not lease_id or not await self._store.renew_lease(lease_id):
                         lease_id = await self._store.grant_lease(MEMBER_LEASE_S)
                         key = MEMBER_PREFIX + self._settings.daemon_id
                         await self._store.put_with_lease(key, value, lease_id)
                     renewed_s = monotonic()
-                await self._list_members()
-                await sleep(MEMBER_LIST_INTERVAL_S if len(self._listed) > 1 else RETRY_PAUSE_S)
+                await self._refresh_members()
+                await sleep(
+                    MEMBER_LIST_INTERVAL_S if len(self._member_domains) > 1 else RETRY_DELAY_S
+                )
             except StoreLeaseLapsedError:
                 lease_id = 0
             except StoreError as error:
                 logger.debug("the list of members is not available: {}", error.message)
-                await sleep(RETRY_PAUSE_S)
+                await sleep(RETRY_DELAY_S)
 
-    async def _list_members(self) -> None:
-        page = await self._store.read_page(MEMBER_PREFIX, may_be_stale=len(self._listed) > 1)
+    async def _refresh_members(self) -> None:
+        page = await self._store.read_page(
+            MEMBER_PREFIX, may_be_stale=len(self._member_domains) > 1
+        )
         listed = {}
         for entry in page.entries:
             try:
@@ -294,30 +302,33 @@
             listed[entry.key.removeprefix(MEMBER_PREFIX)] = domain
             if address != self._identity.peer_address:
                 self._network.add_address(address)
-        self._listed = listed
+        self._member_domains = listed
+
+    async def _handle_signals(self) -> None:
+        """Starts the planned stop on SIGTERM or SIGINT and reloads the settings on SIGHUP.
 
-    async def _follow_signals(self) -> None:
-        """Stops in order on SIGTERM; later signals neither hasten nor break off the stop."""
+        Later signals neither speed up nor interrupt a stop.
+        """
         with open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
             async with create_task_group() as task_group:
                 async for number in signals:
                     if number == signal.SIGHUP:
-                        self._settings_reader.ask()
+                        self._settings_watcher.request_reload()
                     elif self._is_stopping:
-                        logger.info("told to stop again; the stop goes on")
+                        logger.info("received another stop signal; already stopping")
                     else:
                         self._is_stopping = True
                         task_group.start_soon(self._stop)
 
     async def _stop(self) -> None:
-        """Answers what is in flight, within the time before SIGKILL."""
+        """Answers the requests in flight, within the time before SIGKILL."""
         logger.info("stopping")
         self._coordinator.leave()
         self._network.announce_leaving()
-        with move_on_after(self._settings.stop_grace_s * ANSWERING_SHARE):
-            await sleep(min(BALANCER_NOTICE_S, self._settings.stop_grace_s / 2))
-            await self._callers.wait_until_idle()
-        self._callers.give_up()
+        with move_on_after(self._settings.stop_grace_s * DRAIN_SHARE):
+            await sleep(min(BALANCER_DETECTION_S, self._settings.stop_grace_s / 2))
+            await self._application.wait_until_idle()
+        self._application.abandon_waiting_requests()
         self._stopped.set()
 
 
--- a/berylproxy/platform/endpoints.py
+++ b/berylproxy/platform/endpoints.py
@@ -1,4 +1,4 @@
-"""The platform's runners: their list in the store, and the calls to them."""
+"""Lists the platform's runners (endpoints) from the store and calls them."""
 
 from time import monotonic
 from typing import Any
@@ -24,18 +24,18 @@
     StartOrder,
     StartOutcome,
 )
-from berylproxy.http_exchange import AnswerLostError, HttpAnswer, HttpExchange, NotSentError
+from berylproxy.http_exchange import AnswerLostError, HttpClient, HttpResponse, NotSentError
 from berylproxy.platform.store import PlatformStore
 from berylproxy.store.port import Entry
 
 LIST_PREFIX = "servers/"
-CALL_TIMEOUT_S = 0.25  # a runner answers in some 4 ms
+CALL_TIMEOUT_S = 0.25  # a runner normally responds in about 4 ms
 CONNECT_TIMEOUT_S = 0.2
 INSTANCE_HEADER = "Berylproxy-Expect-Instance"
-OTHER_LIFE_STATUS = 421
+OTHER_INSTANCE_STATUS = 421
 STATES = ("ready", "draining")
-UNHEALTHY_STATUSES = (429, 503)  # nothing was done
-RACK_LABEL_START = "r"  # labels name the kind, and the rack as r<room>-<rack>
+UNHEALTHY_STATUSES = (429, 503)  # the request had no effect
+RACK_LABEL_PREFIX = "r"  # a label is either the kind or the rack, written as r<room>-<rack>
 
 REFUSALS = {
     "fence": StartOutcome.FENCED_OFF,
@@ -50,121 +50,125 @@
 class PlatformEndpoints:
     """Implements :class:`berylproxy.durable.ports.EndpointDirectory`.
 
-    :ivar longest_lease_s: the longest lease that runners grant; holds for later connections.
+    :ivar longest_lease_s: longest lease that runners grant, in seconds; applies to new connections.
     """
 
     def __init__(self, store: PlatformStore, longest_lease_s: float) -> None:
         self._store = store
         self.longest_lease_s = longest_lease_s
-        self._reported: set[str] = set()
+        self._logged_keys: set[str] = set()
 
     async def fetch(self) -> tuple[EndpointInfo, ...]:
-        """Reads the list; entries that can't be read are left out and logged once."""
-        info, after_key, has_more = [], "", True
+        """Reads the list; entries that can't be decoded are skipped and logged once."""
+        endpoints, after_key, has_more = [], "", True
         while has_more:
             page = await self._store.read_page(LIST_PREFIX, after_key)
             for entry in page.entries:
                 after_key = entry.key
-                decoded = decode_entry(entry)
-                if decoded is not None:
-                    info.append(decoded)
-                elif entry.key not in self._reported:
-                    self._reported.add(entry.key)
-                    logger.warning("list entry {} names no endpoint", entry.key)
+                info = decode_entry(entry)
+                if info is not None:
+                    endpoints.append(info)
+                elif entry.key not in self._logged_keys:
+                    self._logged_keys.add(entry.key)
+                    logger.warning("skipped list entry {}: not a valid endpoint", entry.key)
             has_more = page.has_more and bool(page.entries)
-        return tuple(info)
+        return tuple(endpoints)
 
     def connect(self, info: EndpointInfo) -> "PlatformEndpoint":
-        """Makes the calls to a runner."""
+        """Returns a client for one runner."""
         return PlatformEndpoint(info, self.longest_lease_s)
 
 
 class PlatformEndpoint:
-    """Implements :class:`berylproxy.durable.ports.EndpointCalls`."""
+    """Implements :class:`berylproxy.durable.ports.EndpointCalls` for one runner.
+
+    On the wire the platform calls a lease "hold", its end "until-ms" and the number of the last
+    acknowledged end "last-seen".
+    """
 
     def __init__(self, info: EndpointInfo, longest_lease_s: float) -> None:
-        self._http = HttpExchange(info.address, CONNECT_TIMEOUT_S)
+        self._http = HttpClient(info.address, CONNECT_TIMEOUT_S)
         self._headers = {INSTANCE_HEADER: info.instance.endpoint_id}
         self._lease_s = longest_lease_s
         self._clock = LeaseClock()
 
     def lease_end_s(self) -> float:
-        """Monotonic time after which nothing granted so far runs any more."""
+        """Returns the monotonic time by which every run under a lease granted so far has ended."""
         return self._clock.lapsed_at_s()
 
     async def start(self, order: StartOrder) -> StartOutcome:
-        """Orders the start of a task."""
+        """Orders the runner to start a task."""
         body = {
-            "task": _format_name(order.name),
+            "task": _format_task_name(order.name),
             "run": order.run,
             "spec": order.payload,
-            "until-ms": self._end_of_lease_ms(),
+            "until-ms": self._next_lease_end_ms(),
             "fence": order.fence,
         }
         if order.saved:
             body["checkpoint-data"] = order.saved
         try:
-            answer = await self._post("/-/run-start", body, CALL_TIMEOUT_S)
+            response = await self._post("/-/run-start", body, CALL_TIMEOUT_S)
         except NotSentError:
             return StartOutcome.NOT_SENT
         except AnswerLostError:
             return StartOutcome.UNKNOWN
-        return decode_start(answer)
+        return decode_start(response)
 
     async def stop(self, name: TaskName, run: int, fence: int) -> None:
-        """Stops a run, also one that has yet to arrive."""
-        body = {"task": _format_name(name), "run": run, "fence": fence}
-        self._check(await self._call("/-/run-stop", body, CALL_TIMEOUT_S))
+        """Stops a run, even if the order to start it has yet to arrive."""
+        body = {"task": _format_task_name(name), "run": run, "fence": fence}
+        self._decode_or_raise(await self._call("/-/run-stop", body, CALL_TIMEOUT_S))
 
     async def renew(
         self, fence: int, acknowledged: int, wait_s: float, *, extend: bool
     ) -> EndpointReport:
-        """Asks for what runs and what has ended."""
+        """Returns the runs in progress and those that ended; optionally extends the lease."""
         body: dict[str, Any] = {"fence": fence, "last-seen": acknowledged}
         if extend and self._clock.is_known:
-            body["until-ms"] = self._end_of_lease_ms()
+            body["until-ms"] = self._next_lease_end_ms()
         if wait_s > 0:
             body["wait-ms"] = int(wait_s * 1000)
-        answer = await self._call("/-/hold", body, wait_s + CALL_TIMEOUT_S)
-        content = self._check(answer)
-        return decode_report(content, answer.sent_s)
+        response = await self._call("/-/hold", body, wait_s + CALL_TIMEOUT_S)
+        content = self._decode_or_raise(response)
+        return decode_report(content, response.sent_s)
 
     async def close(self) -> None:
-        """Closes its connections."""
+        """Closes the idle connections."""
         self._http.close_idle()
 
-    def _end_of_lease_ms(self) -> int:
+    def _next_lease_end_ms(self) -> int:
         return self._clock.end_of_lease_ms(monotonic(), self._lease_s)
 
-    async def _post(self, target: str, body: dict[str, Any], timeout_s: float) -> HttpAnswer:
-        answer = await self._http.call(
+    async def _post(self, target: str, body: dict[str, Any], timeout_s: float) -> HttpResponse:
+        response = await self._http.call(
             "POST", target, orjson.dumps(body), timeout_s=timeout_s, headers=self._headers
         )
-        if answer.status in (200, 409):
-            clock_ms = _read_object(answer).get("clock-ms")
+        if response.status in (200, 409):
+            clock_ms = _decode_object(response).get("clock-ms")
             if isinstance(clock_ms, int):
-                self._clock.read(clock_ms, answer.sent_s, answer.received_s)
-        return answer
+                self._clock.read(clock_ms, response.sent_s, response.received_s)
+        return response
 
-    async def _call(self, target: str, body: dict[str, Any], timeout_s: float) -> HttpAnswer:
+    async def _call(self, target: str, body: dict[str, Any], timeout_s: float) -> HttpResponse:
         try:
             return await self._post(target, body, timeout_s)
         except (NotSentError, AnswerLostError) as error:
             raise EndpointCallError(f"{target}: {error.message}") from error
 
-    def _check(self, answer: HttpAnswer) -> dict[str, Any]:
-        if answer.status == OTHER_LIFE_STATUS:
-            raise OtherInstanceError("another life of the runner answers")
-        if answer.status not in (200, 409):
-            raise EndpointCallError(f"the runner answered {answer.status}")
-        content = _read_object(answer)
-        if answer.status == 409 and content.get("reason") == "fence":
-            raise FencedOffError("the runner follows a higher fence")
+    def _decode_or_raise(self, response: HttpResponse) -> dict[str, Any]:
+        if response.status == OTHER_INSTANCE_STATUS:
+            raise OtherInstanceError("another instance of the runner answered")
+        if response.status not in (200, 409):
+            raise EndpointCallError(f"the runner answered {response.status}")
+        content = _decode_object(response)
+        if response.status == 409 and content.get("reason") == "fence":
+            raise FencedOffError("the runner has accepted a higher fence")
         return content
 
 
 def decode_entry(entry: Entry) -> EndpointInfo | None:
-    """Decodes an entry of the list; ``None`` if it names no endpoint to use."""
+    """Decodes an entry of the list; returns ``None`` if it is not a valid, usable endpoint."""
     try:
         content = orjson.loads(entry.value)
         state, service = content["state"], content["service"]
@@ -172,7 +176,7 @@
         labels = content.get("labels", [])
         capacity = decode_needs(content["capacity"])
         host, _, port = address.rpartition(":")
-        valid = (
+        is_valid = (
             state in STATES
             and all(isinstance(text, str) and text for text in (service, host, zone))
             and 0 < int(port) < 65_536
@@ -180,9 +184,10 @@
         )
     except (ValueError, TypeError, KeyError, AttributeError):
         return None
-    if not valid:
+    if not is_valid:
         return None
-    # "born" is the Unix millisecond of the runner's start; one id may have several lives.
+    # "born" is the start of the runner's process in Unix milliseconds. An id may be reused, so that
+    # only both together identify an instance.
     born = content.get("born", 0)
     return EndpointInfo(
         EndpointInstance(entry.key.removeprefix(LIST_PREFIX), born if isinstance(born, int) else 0),
@@ -192,15 +197,15 @@
         capacity,
         leaving=state == "draining",
         labels=frozenset(labels),
-        rack=next((label for label in labels if _is_rack(label)), ""),
-        kind=next((label for label in labels if not _is_rack(label)), ""),
+        rack=next((label for label in labels if _is_rack_label(label)), ""),
+        kind=next((label for label in labels if not _is_rack_label(label)), ""),
     )
 
 
 def decode_needs(content: dict[str, Any]) -> Needs:
-    """Decodes resources; those that are left out are 0.
+    """Decodes resource amounts; a missing one is 0.
 
-    :raises ValueError: if one is not a whole number of 0 or more.
+    :raises ValueError: if an amount is not a non-negative integer.
     """
     values = [content.get(name, 0) for name in ("cpu", "mem-mb", "gpu")]
     if not all(type(value) is int and value >= 0 for value in values):
@@ -208,36 +213,38 @@
     return Needs(*values)
 
 
-def decode_start(answer: HttpAnswer) -> StartOutcome:
-    """Decodes a runner's answer to an order; one that the pages don't name leaves it open."""
-    if answer.status == 200:
+def decode_start(response: HttpResponse) -> StartOutcome:
+    """Decodes the response to a start order; an undocumented status leaves the outcome unknown."""
+    if response.status == 200:
         return StartOutcome.STARTED
-    if answer.status == OTHER_LIFE_STATUS:
+    if response.status == OTHER_INSTANCE_STATUS:
         return StartOutcome.OTHER_LIFE
-    if answer.status in UNHEALTHY_STATUSES:
+    if response.status in UNHEALTHY_STATUSES:
         return StartOutcome.UNHEALTHY
-    if answer.status == 409:
-        return REFUSALS.get(str(_read_object(answer).get("reason")), StartOutcome.INVALID)
-    if answer.status == 400:
+    if response.status == 409:
+        return REFUSALS.get(str(_decode_object(response).get("reason")), StartOutcome.INVALID)
+    if response.status == 400:
         return StartOutcome.INVALID
-    logger.warning("a start was answered {}, taken as unknown", answer.status)
+    logger.warning(
+        "unexpected status {} for a start order; its outcome is unknown", response.status
+    )
     return StartOutcome.UNKNOWN
 
 
 def decode_report(content: dict[str, Any], sent_s: float) -> EndpointReport:
-    """Decodes a runner's lists; rows that can't be read are counted."""
+    """Decodes a runner's report; rows that can't be decoded are skipped and counted."""
     unreadable = 0
     running, ended = [], []
     for row in _list_rows(content, "running"):
         try:
-            name = _parse_name(row[0])
-            running.append(RunningTask(name, int(row[1]), _read_text(row[2]), int(row[3])))
+            name = _parse_task_name(row[0])
+            running.append(RunningTask(name, int(row[1]), _text_or_empty(row[2]), int(row[3])))
         except (ValueError, TypeError, IndexError, KeyError, AttributeError):
             unreadable += 1
     for row in _list_rows(content, "ended"):
         try:
-            name = _parse_name(row[1])
-            kind, saved = EndKind(row[3]), _read_text(row[4])
+            name = _parse_task_name(row[1])
+            kind, saved = EndKind(row[3]), _text_or_empty(row[4])
             ended.append(EndedRun(int(row[0]), name, int(row[2]), kind, saved))
         except (ValueError, TypeError, IndexError, KeyError, AttributeError):
             unreadable += 1
@@ -252,26 +259,26 @@
     return rows if isinstance(rows, list) else []
 
 
-def _read_text(value: Any) -> str:
+def _text_or_empty(value: Any) -> str:
     return value if isinstance(value, str) else ""
 
 
-def _format_name(name: TaskName) -> str:
+def _format_task_name(name: TaskName) -> str:
     return f"{name.job_id}.0.{name.step}.{name.index}"
 
 
-def _parse_name(text: str) -> TaskName:
+def _parse_task_name(text: str) -> TaskName:
     job_id, _, step, index = text.rsplit(".", 3)
     return TaskName(job_id, int(step), int(index))
 
 
-def _is_rack(label: str) -> bool:
-    return label.startswith(RACK_LABEL_START) and "-" in label
+def _is_rack_label(label: str) -> bool:
+    return label.startswith(RACK_LABEL_PREFIX) and "-" in label
 
 
-def _read_object(answer: HttpAnswer) -> dict[str, Any]:
+def _decode_object(response: HttpResponse) -> dict[str, Any]:
     try:
-        content = orjson.loads(answer.body) if answer.body else {}
+        content = orjson.loads(response.body) if response.body else {}
     except orjson.JSONDecodeError as error:
         raise AnswerLostError(f"the answer is not JSON: {error}") from error
     return content if isinstance(content, dict) else {}
--- a/berylproxy/platform/reload.py
+++ b/berylproxy/platform/reload.py
@@ -1,4 +1,4 @@
-"""Takes changes of the settings file into force while the daemon runs."""
+"""Applies changes of the settings file while the daemon runs."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, fields
@@ -10,8 +10,9 @@
 from berylproxy.platform.settings import PlatformSettings, load_platform_settings
 from berylproxy.settings import SettingsError
 
-LOOK_INTERVAL_S = 1.0  # half of the shortest bound within which a change must hold
-FIXED_FIELDS = frozenset(
+CHECK_INTERVAL_S = 1.0  # half of the shortest time within which a change must take effect
+# Fields that take effect at the next start only: open connections depend on them.
+RESTART_FIELDS = frozenset(
     {
         "daemon_id",
         "failure_domain",
@@ -27,10 +28,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingsChange:
-    """What a new version of the settings changes.
+    """The differences between two versions of the settings.
 
     :param applied: names of the fields that take effect at once.
-    :param held: names of the fields that take effect at the next start; connections hang on them.
+    :param held: names of the fields that take effect at the next start.
     """
 
     applied: tuple[str, ...]
@@ -38,26 +39,26 @@
 
 
 def compare_settings(former: PlatformSettings, new: PlatformSettings) -> SettingsChange:
-    """Lists the fields that differ."""
+    """Returns the fields that differ."""
     names = [
         field.name
         for field in fields(PlatformSettings)
         if getattr(former, field.name) != getattr(new, field.name)
     ]
     return SettingsChange(
-        tuple(name for name in names if name not in FIXED_FIELDS),
-        tuple(name for name in names if name in FIXED_FIELDS),
+        tuple(name for name in names if name not in RESTART_FIELDS),
+        tuple(name for name in names if name in RESTART_FIELDS),
     )
 
 
-class SettingsReader:
-    """Reads the file again on request, and when it has changed without one.
+class SettingsWatcher:
+    """Reloads the settings file on request and whenever its content changes.
 
-    A file that can't be read, or is wrong, changes nothing and is logged once.
+    A file that is unreadable or invalid changes nothing and is logged once.
 
-    :param path: of the settings file.
-    :param settings: those in force.
-    :param apply: takes new settings; fields that are held until a start may differ in them.
+    :param path: path of the settings file.
+    :param settings: the current settings.
+    :param apply: applies new settings; must ignore the fields that need a restart.
     """
 
     def __init__(
@@ -69,27 +70,27 @@
         self._path = path
         self._settings = settings
         self._apply = apply
-        self._seen: bytes | None = None
-        self._asked = Event()
+        self._last_content: bytes | None = None
+        self._reload_requested = Event()
 
-    def ask(self) -> None:
-        """Has the file read at once."""
-        self._asked.set()
+    def request_reload(self) -> None:
+        """Requests an immediate reload."""
+        self._reload_requested.set()
 
     async def run(self) -> None:
-        """Looks after the file until cancelled."""
-        self._seen = self._read_bytes()
+        """Watches the file until cancelled."""
+        self._last_content = self._read_bytes()
         while True:
-            with move_on_after(LOOK_INTERVAL_S):
-                await self._asked.wait()
-            was_asked, self._asked = self._asked.is_set(), Event()
+            with move_on_after(CHECK_INTERVAL_S):
+                await self._reload_requested.wait()
+            was_requested, self._reload_requested = self._reload_requested.is_set(), Event()
             content = self._read_bytes()
-            if content != self._seen or was_asked:
-                self._seen = content
-                self._reload(was_asked)
+            if content != self._last_content or was_requested:
+                self._last_content = content
+                self._reload(was_requested)
 
-    def _reload(self, was_asked: bool) -> None:
-        cause = "signal" if was_asked else "change"
+    def _reload(self, was_requested: bool) -> None:
+        cause = "signal" if was_requested else "change"
         try:
             settings = load_platform_settings(self._path)
         except SettingsError as error:
@@ -111,6 +112,6 @@
 
     def _read_bytes(self) -> bytes | None:
         try:
-            return Path(self._path).read_bytes()  # some 2 KB in the page cache
+            return Path(self._path).read_bytes()  # about 2 KB, served from the page cache
         except OSError:
-            return None  # the reload that follows tells why
+            return None  # the reload that follows logs the reason
--- a/berylproxy/platform/settings.py
+++ b/berylproxy/platform/settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file, checked whole."""
+"""Loads and validates the platform's settings file."""
 
 import tomllib
 from dataclasses import dataclass
@@ -8,16 +8,16 @@
 
 from berylproxy.settings import SettingsError
 
-METRICS_PORT = 9464  # where exporters of OpenTelemetry serve by default; deploy/ names it too
+METRICS_PORT = 9464  # default of OpenTelemetry exporters; also configured in deploy/
 SETTINGS_VARIABLE = "BERYLPROXY_NODE_FILE"
 
 
-def _to_key(name: str) -> str:
+def to_kebab_case(name: str) -> str:
     return name.replace("_", "-")
 
 
 class _Table(BaseModel):
-    model_config = ConfigDict(extra="ignore", alias_generator=_to_key, frozen=True)
+    model_config = ConfigDict(extra="ignore", alias_generator=to_kebab_case, frozen=True)
 
 
 class _Listen(_Table):
@@ -55,17 +55,17 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformSettings:
-    """What the platform tells a daemon.
-
-    :param callers_address: where callers connect.
-    :param ready_address: where the balancer asks whether the daemon takes new connections.
-    :param peer_address: where other daemons connect.
-    :param metrics_address: where metrics are served.
-    :param store_address: the platform's key-value service.
-    :param cores: share of a core that the VM has, of common speed.
+    """Settings that the platform gives a daemon.
+
+    :param callers_address: listen address for callers; "frontend-addr" in the file.
+    :param ready_address: listen address for the load balancer's readiness probe.
+    :param peer_address: listen address for other daemons.
+    :param metrics_address: listen address for metrics and status.
+    :param store_address: address of the platform's key-value service.
+    :param cores: processor capacity of the VM, in cores of standard speed.
     :param stop_grace_s: time from SIGTERM to SIGKILL.
-    :param longest_lease_s: the longest lease that endpoints grant.
-    :param remote_factor: run time of a task away from its data, compared to near it.
+    :param longest_lease_s: longest lease that endpoints grant; "hold-max-ms" in the file.
+    :param remote_factor: run time of a task away from its data, relative to its run time near it.
     """
 
     daemon_id: str
@@ -84,7 +84,7 @@
 def load_platform_settings(path: str) -> PlatformSettings:
     """Reads and checks the file.
 
-    :raises SettingsError: with everything that is wrong, and where.
+    :raises SettingsError: listing every problem and its location in the file.
     """
     try:
         content = tomllib.loads(Path(path).read_text(encoding="utf-8"))
--- a/berylproxy/platform/store.py
+++ b/berylproxy/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's key-value service."""
+"""Client of the platform's key-value service."""
 
 from base64 import b64decode, b64encode
 from binascii import Error as Base64Error
@@ -10,7 +10,7 @@
 import orjson
 
 from berylproxy.durable.ports import Transaction, TransactionConflictError
-from berylproxy.http_exchange import AnswerLostError, HttpAnswer, HttpExchange, NotSentError
+from berylproxy.http_exchange import AnswerLostError, HttpClient, HttpResponse, NotSentError
 from berylproxy.store.errors import StoreCompactedError, StoreLeaseLapsedError, StoreRefusedError
 from berylproxy.store.port import (
     ChangeBatch,
@@ -19,18 +19,18 @@
     StoreUnavailableError,
 )
 
-CALL_TIMEOUT_S = 1.0  # a slow store answers in some 0.3 s
-READ_TIMEOUT_S = 0.7  # so is a silent connection noticed, and others are tried
-CONTACT_SILENCE_S = 0.8  # of a store that failed the last call
-CONNECT_TIMEOUT_S = 0.3  # many round trips within a region
-WATCH_MARGIN_S = 0.4  # on top of the wait, before a watch counts as silent
-REFUSING_STATUSES = (429, 503)  # nothing was done
+CALL_TIMEOUT_S = 1.0  # a slow store responds in about 0.3 s
+READ_TIMEOUT_S = 0.7  # a dead connection is detected early, and a new one is tried
+MAX_CONTACT_AGE_S = 0.8  # after one failed call the store counts as reachable for this long
+CONNECT_TIMEOUT_S = 0.3  # long enough for many round trips within a region
+WATCH_TIMEOUT_MARGIN_S = 0.4  # added to the wait before a watch is considered hung
+REFUSAL_STATUSES = (429, 503)  # the request had no effect
 MAX_TRANSACTION_ENTRIES = 32
 
 
 @dataclass(frozen=True, slots=True)
 class StorePage:
-    """Entries below a prefix, a part of all if there are more."""
+    """One page of the entries under a prefix."""
 
     entries: tuple[Entry, ...]
     has_more: bool
@@ -40,36 +40,38 @@
 class PlatformStore:
     """Implements :class:`berylproxy.durable.ports.JobStore` and the reads that a daemon needs.
 
-    :ivar calls: number of calls made.
-    :ivar heard_s: monotonic time of the last answer that was no refusal.
+    :ivar call_count: number of calls made.
+    :ivar last_contact_s: monotonic time of the last response other than a refusal.
     """
 
     max_entries = MAX_TRANSACTION_ENTRIES
 
     def __init__(self, address: str) -> None:
-        self._http = HttpExchange(address, CONNECT_TIMEOUT_S)
-        self._watches = HttpExchange(address, CONNECT_TIMEOUT_S)
-        self.calls = 0
-        self.heard_s = monotonic()
-        self._failures_in_row = 0
-
-    def move(self, address: str) -> None:
-        """Goes on at another address; calls under way end at the former one."""
+        self._http = HttpClient(address, CONNECT_TIMEOUT_S)
+        self._watches = HttpClient(address, CONNECT_TIMEOUT_S)
+        self.call_count = 0
+        self.last_contact_s = monotonic()
+        self._consecutive_failures = 0
+
+    def change_address(self, address: str) -> None:
+        """Switches to another address; calls in progress finish at the former one."""
         former = (self._http, self._watches)
-        self._http = HttpExchange(address, CONNECT_TIMEOUT_S)
-        self._watches = HttpExchange(address, CONNECT_TIMEOUT_S)
+        self._http = HttpClient(address, CONNECT_TIMEOUT_S)
+        self._watches = HttpClient(address, CONNECT_TIMEOUT_S)
         for http in former:
             http.close_idle()
 
     @property
-    def has_contact(self) -> bool:
-        """Whether the service answers this daemon, as far as the last calls show."""
-        if self._failures_in_row > 1:
+    def is_reachable(self) -> bool:
+        """Whether the service is reachable, judging by the last calls."""
+        if self._consecutive_failures > 1:
             return False
-        return not self._failures_in_row or monotonic() - self.heard_s < CONTACT_SILENCE_S
+        return (
+            not self._consecutive_failures or monotonic() - self.last_contact_s < MAX_CONTACT_AGE_S
+        )
 
     async def commit(self, transaction: Transaction) -> int:
-        """Makes the changes and returns their revision; see the protocol type for errors."""
+        """Commits the changes and returns their revision; see the protocol type for errors."""
         body = {
             "expect": [{"key": key, "rev": revision} for key, revision in transaction.expected],
             "set-keys": [
@@ -78,63 +80,63 @@
             ],
             "remove": list(transaction.removed),
         }
-        answer = await self._write("/-/kv-txn", body)
-        if answer.status == 412:
+        response = await self._write("/-/kv-txn", body)
+        if response.status == 412:
             revisions = {key: 0 for key, _ in transaction.expected}
-            for item in _read_object(answer).get("items", ()):
+            for item in _decode_object(response).get("items", ()):
                 revisions[item["key"]] = item.get("rev", 0)
             raise TransactionConflictError("a key has another revision", revisions)
-        return int(_read_object(self._require_done(answer))["rev"])
+        return int(_decode_object(self._require_success(response))["rev"])
 
     async def put_with_lease(self, key: str, value: bytes, lease_id: int) -> None:
-        """Writes a key that goes away with a lease.
+        """Writes a key that is removed when the lease ends.
 
         :raises StoreLeaseLapsedError: if the lease has ended.
         """
         row = {"key": key, "value": b64encode(value).decode(), "lease": lease_id}
-        answer = await self._write("/-/kv-txn", {"expect": [], "set-keys": [row], "remove": []})
-        if answer.status == 404:
+        response = await self._write("/-/kv-txn", {"expect": [], "set-keys": [row], "remove": []})
+        if response.status == 404:
             raise StoreLeaseLapsedError("the lease has ended")
-        self._require_done(answer)
+        self._require_success(response)
 
     async def grant_lease(self, ttl_s: float) -> int:
-        """Makes a lease and returns its identifier."""
-        answer = await self._write("/-/kv-lease", {"ttl-ms": int(ttl_s * 1000)})
-        return int(_read_object(self._require_done(answer))["lease"])
+        """Creates a lease and returns its identifier."""
+        response = await self._write("/-/kv-lease", {"ttl-ms": int(ttl_s * 1000)})
+        return int(_decode_object(self._require_success(response))["lease"])
 
     async def renew_lease(self, lease_id: int) -> bool:
-        """Renews a lease; ``False`` if it has ended."""
-        answer = await self._write(f"/-/kv-keep/{lease_id}", None)
-        if answer.status == 404:
+        """Renews a lease; returns ``False`` if it has ended."""
+        response = await self._write(f"/-/kv-keep/{lease_id}", None)
+        if response.status == 404:
             return False
-        self._require_done(answer)
+        self._require_success(response)
         return True
 
     async def get(self, key: str) -> Entry | None:
-        """Reads one key; ``None`` if it does not exist."""
-        answer = await self._read(f"/-/kv-key?key={quote(key, safe='')}")
-        if answer.status == 404:
+        """Reads one key; returns ``None`` if it does not exist."""
+        response = await self._read(f"/-/kv-key?key={quote(key, safe='')}")
+        if response.status == 404:
             return None
-        return _read_entry(_read_object(self._require_done(answer)))
+        return _decode_item(_decode_object(self._require_success(response)))
 
     async def list_page(
         self, prefix: str, after_key: str, *, may_be_stale: bool = False
     ) -> tuple[tuple[Entry, ...], bool]:
-        """Reads entries below a prefix, and tells whether more follow."""
+        """Reads entries under a prefix; also returns whether more follow."""
         page = await self.read_page(prefix, after_key, may_be_stale=may_be_stale)
         return page.entries, page.has_more
 
     async def read_page(
         self, prefix: str, after_key: str = "", *, may_be_stale: bool = False
     ) -> StorePage:
-        """Reads a page of entries; a stale one is cheap and may be seconds old."""
+        """Reads a page of entries; a stale read costs the store less and may be seconds old."""
         target = f"/-/kv-range?prefix={quote(prefix, safe='')}"
         if after_key:
             target += f"&after={quote(after_key, safe='')}"
         if may_be_stale:
             target += "&stale-ok=1"
-        content = _read_object(self._require_done(await self._read(target)))
-        entries = [_read_entry(item) for item in content.get("items", ())]
+        content = _decode_object(self._require_success(await self._read(target)))
+        entries = [_decode_item(item) for item in content.get("items", ())]
         return StorePage(
             tuple(entry for entry in entries if entry is not None),
             bool(content.get("more-pages")),
@@ -146,75 +148,77 @@
     ) -> ChangeBatch:
         """Waits for changes later than a revision.
 
-        :raises StoreCompactedError: if they are not kept any more.
+        :raises StoreCompactedError: if the store no longer has them.
         """
         target = (
             f"/-/kv-watch?prefix={quote(prefix, safe='')}&after={after_revision}"
             f"&wait-ms={int(wait_s * 1000)}"
         )
         try:
-            self.calls += 1
-            answer = await self._watches.call("GET", target, timeout_s=wait_s + WATCH_MARGIN_S)
+            self.call_count += 1
+            response = await self._watches.call(
+                "GET", target, timeout_s=wait_s + WATCH_TIMEOUT_MARGIN_S
+            )
         except (NotSentError, AnswerLostError) as error:
-            self._failures_in_row += 1
+            self._consecutive_failures += 1
             raise StoreUnavailableError(f"watch: {error.message}") from error
-        self._note_contact(answer)
-        if answer.status == 410:
-            raise StoreCompactedError(f"changes after {after_revision} are not kept")
-        content = _read_object(self._require_done(answer))
+        self._note_response(response)
+        if response.status == 410:
+            raise StoreCompactedError(f"changes after {after_revision} are no longer available")
+        content = _decode_object(self._require_success(response))
         updates, deletions = [], []
         for event in content.get("events", ()):
             if event.get("deleted"):
                 deletions.append(Entry(event["key"], b"", int(event.get("rev", 0))))
             else:
-                entry = _read_entry(event)
+                entry = _decode_item(event)
                 if entry is not None:
                     updates.append(entry)
         revision = int(content.get("store-revision", after_revision))
         return ChangeBatch(revision, tuple(updates), tuple(deletions))
 
-    async def _write(self, target: str, body: Any) -> HttpAnswer:
+    async def _write(self, target: str, body: Any) -> HttpResponse:
         content = orjson.dumps(body) if body is not None else b""
-        self.calls += 1
+        self.call_count += 1
         try:
-            answer = await self._http.call("POST", target, content, timeout_s=CALL_TIMEOUT_S)
+            response = await self._http.call("POST", target, content, timeout_s=CALL_TIMEOUT_S)
         except NotSentError as error:
-            self._failures_in_row += 1
+            self._consecutive_failures += 1
             raise StoreUnavailableError(error.message) from error
         except AnswerLostError as error:
-            self._failures_in_row += 1
+            self._consecutive_failures += 1
             raise StoreOutcomeUnknownError(error.message) from error
-        self._note_contact(answer)
-        return answer
+        self._note_response(response)
+        return response
 
-    async def _read(self, target: str) -> HttpAnswer:
-        self.calls += 1
+    async def _read(self, target: str) -> HttpResponse:
+        self.call_count += 1
         try:
-            answer = await self._http.call("GET", target, timeout_s=READ_TIMEOUT_S)
+            response = await self._http.call("GET", target, timeout_s=READ_TIMEOUT_S)
         except (NotSentError, AnswerLostError) as error:
-            self._failures_in_row += 1
+            self._consecutive_failures += 1
             raise StoreUnavailableError(error.message) from error
-        self._note_contact(answer)
-        return answer
+        self._note_response(response)
+        return response
 
-    def _note_contact(self, answer: HttpAnswer) -> None:
-        if answer.status in REFUSING_STATUSES:
-            self._failures_in_row += 1
+    def _note_response(self, response: HttpResponse) -> None:
+        if response.status in REFUSAL_STATUSES:
+            self._consecutive_failures += 1
         else:
-            self._failures_in_row = 0
-            self.heard_s = answer.received_s
+            self._consecutive_failures = 0
+            self.last_contact_s = response.received_s
 
-    def _require_done(self, answer: HttpAnswer) -> HttpAnswer:
-        if answer.status in REFUSING_STATUSES:
-            raise StoreUnavailableError(f"the service answered {answer.status}")
-        if answer.status != 200:
-            raise StoreRefusedError(f"the service answered {answer.status}")
-        return answer
+    def _require_success(self, response: HttpResponse) -> HttpResponse:
+        if response.status in REFUSAL_STATUSES:
+            raise StoreUnavailableError(f"the service answered {response.status}")
+        if response.status != 200:
+            raise StoreRefusedError(f"the service answered {response.status}")
+        return response
 
 
-def _read_object(answer: HttpAnswer) -> dict[str, Any]:
+def _decode_object(response: HttpResponse) -> dict[str, Any]:
     try:
-        content = orjson.loads(answer.body)
+        content = orjson.loads(response.body)
     except orjson.JSONDecodeError as error:
         raise StoreOutcomeUnknownError(f"the answer is not JSON: {error}") from error
     if not isinstance(content, dict):
@@ -222,8 +226,8 @@
     return content
 
 
-def _read_entry(item: dict[str, Any]) -> Entry | None:
-    """Decodes an item; one whose value is not base64 keeps its key with an empty value."""
+def _decode_item(item: dict[str, Any]) -> Entry | None:
+    """Decodes an item; a value that is not base64 is replaced by an empty one."""
     key, value = item.get("key"), item.get("value")
     if not isinstance(key, str):
         return None
--- a/berylproxy/send/__init__.py
+++ b/berylproxy/send/__init__.py
@@ -1,1 +1,1 @@
-"""Carries one task to one endpoint over connections that the daemon keeps itself."""
+"""Sends tasks to endpoints over connections that the daemon manages itself."""
--- a/berylproxy/send/connections.py
+++ b/berylproxy/send/connections.py
@@ -1,8 +1,9 @@
-"""Connections to endpoints, kept by the daemon itself.
+"""Pools of connections to endpoints.
 
-The daemon must know each connection's age and last use, since an old one may have gone silent, and
-must keep to the endpoint's limit together with the other daemons. A connection carries one request
-at a time and is closed after anything but a whole answer, so that a late answer meets nobody.
+The daemon manages connections itself: it must know when each was last used, since an old one may be
+dead without notice, and must respect the endpoint's limit together with the other daemons. A
+connection carries one request at a time and is closed unless the response is complete, so that a
+late response can't be mistaken for that of another request.
 """
 
 from collections import deque
@@ -14,22 +15,22 @@
 from berylproxy.clock import Clock
 from berylproxy.send.streams import ExchangeBackend
 
-IDLE_LIMIT_S = 4.0  # below the keep-alive time of common HTTP servers, 5 s
+MAX_IDLE_S = 4.0  # below 5 s, the keep-alive time of common HTTP servers
 
 
 @dataclass(slots=True)
 class IdleConnection:
-    """A connection that waits for its next request."""
+    """A connection that carries no request."""
 
     connection: AsyncHTTPConnection
     idle_since_s: float
 
 
 class EndpointConnections:
-    """The connections of this daemon to one endpoint.
+    """This daemon's connections to one endpoint.
 
     :param url: base URL of the endpoint.
-    :param max_idle: how many connections may be kept open without a request.
+    :param max_idle: returns how many idle connections may be kept open.
     """
 
     def __init__(self, url: str, clock: Clock, max_idle: Callable[[], int]) -> None:
@@ -40,18 +41,18 @@
         self._idle: deque[IdleConnection] = deque()
         self._backend = AnyIOBackend() if parsed.scheme == b"https" else ExchangeBackend()
 
-    async def take(self) -> AsyncHTTPConnection:
-        """Takes the connection used last if it is good, or makes a new one."""
+    async def acquire(self) -> AsyncHTTPConnection:
+        """Returns the most recently used idle connection that is still usable, or a new one."""
         while self._idle:
             idle = self._idle.pop()
-            expired = self._clock.now_s() - idle.idle_since_s > IDLE_LIMIT_S
+            expired = self._clock.now_s() - idle.idle_since_s > MAX_IDLE_S
             if not expired and idle.connection.is_idle() and not idle.connection.has_expired():
                 return idle.connection
             await idle.connection.aclose()
         return AsyncHTTPConnection(self.origin, network_backend=self._backend)
 
-    async def give_back(self, connection: AsyncHTTPConnection) -> None:
-        """Keeps a connection for the next request, or closes it."""
+    async def release(self, connection: AsyncHTTPConnection) -> None:
+        """Returns a connection to the pool, or closes it if it is unusable or the pool is full."""
         if connection.is_idle() and len(self._idle) < self._max_idle():
             self._idle.append(IdleConnection(connection, self._clock.now_s()))
         else:
@@ -59,8 +60,8 @@
 
     async def close_expired(self) -> None:
         """Closes connections that have been idle for too long."""
-        oldest_kept_s = self._clock.now_s() - IDLE_LIMIT_S
-        while self._idle and self._idle[0].idle_since_s < oldest_kept_s:
+        oldest_allowed_s = self._clock.now_s() - MAX_IDLE_S
+        while self._idle and self._idle[0].idle_since_s < oldest_allowed_s:
             await self._idle.popleft().connection.aclose()
 
     async def close(self) -> None:
--- a/berylproxy/send/dispatcher.py
+++ b/berylproxy/send/dispatcher.py
@@ -1,4 +1,7 @@
-"""Runs tasks in granted slots: sends each once, and again only if it certainly did not start."""
+"""Runs tasks in granted slots.
+
+A task is sent again only if it certainly did not start, or if it failed and may be repeated.
+"""
 
 from collections import Counter
 from collections.abc import Callable
@@ -17,15 +20,15 @@
 from berylproxy.tracing import Tracer
 from berylproxy.usage.counters import UsageCounters
 
-MAX_ATTEMPTS = 5  # sends of one task, but for those refused for want of room
+MAX_ATTEMPTS = 5  # sends of one task, not counting those refused because the endpoint was full
 
 
 class Dispatcher:
     """Starts granted tasks and reports how they ended.
 
-    :param release: gives the slot back, with how its use ended and the run time in seconds.
-    :param requeue: takes a task back that has certainly not started.
-    :param finish: takes a task's result.
+    :param release: releases a slot, given the result of its use and the run time in seconds.
+    :param requeue: puts a task that is to be sent again back into the queue.
+    :param finish: accepts a task's result.
     """
 
     def __init__(
@@ -53,34 +56,34 @@
 
     @property
     def in_flight(self) -> int:
-        """How many tasks are at endpoints now."""
+        """Number of tasks that are at endpoints now."""
         return len(self._scopes)
 
-    def bind(self, task_group: TaskGroup) -> None:
-        """Takes the task group in which tasks run."""
+    def set_task_group(self, task_group: TaskGroup) -> None:
+        """Sets the task group in which tasks are sent."""
         self._task_group = task_group
 
     def configure(self, configuration: Configuration) -> None:
-        """Takes a new configuration."""
+        """Applies a new configuration."""
         self._configuration = configuration
 
     def start(self, run: TaskRun, slot: HeldSlot) -> None:
-        """Starts a task in a granted slot."""
+        """Starts a task in a granted slot; releases the slot if it can't be used."""
         endpoint = self._configuration.endpoints.get(slot.endpoint)
-        unusable = endpoint is None or endpoint.leaving or run.job.is_finished
-        if unusable or self._clock.now_s() >= run.job.deadline_s:
+        is_unusable = endpoint is None or endpoint.leaving or run.job.is_finished
+        if is_unusable or self._clock.now_s() >= run.job.deadline_s:
             self._release(slot, SlotResult.UNUSED, 0.0)
             if not run.job.is_finished:
                 self._requeue(run)
             return
-        # Counted before the first await, so that "not run" can't be said from here on.
+        # Counted before the first await: from here on the job can't be reported as not run.
         run.job.note_start()
         run.attempts += 1
         self._scopes[run] = CancelScope()
         self._task_group.start_soon(self._run, run, slot, endpoint)
 
     def cancel(self, runs: list[TaskRun]) -> None:
-        """Gives up on tasks whose job is finished; their connections are closed."""
+        """Abandons tasks whose job is finished; their connections are closed."""
         for run in runs:
             scope = self._scopes.get(run)
             if scope is not None:
@@ -111,7 +114,7 @@
             if error.was_answered:
                 run_time_s = self._clock.now_s() - started_s
                 self._note_answer(run, endpoint, run_time_s, failed=True)
-            self._end_badly(run, slot, error)
+            self._handle_send_error(run, slot, error)
         finally:
             del self._scopes[run]
             self.sends[result.value] += 1
@@ -122,12 +125,12 @@
     ) -> None:
         self._usage.note_answer(endpoint, run.key.team, run.key.service, run_time_s, failed=failed)
 
-    def _end_badly(self, run: TaskRun, slot: HeldSlot, error: SendError) -> None:
+    def _handle_send_error(self, run: TaskRun, slot: HeldSlot, error: SendError) -> None:
         if error.outcome is Outcome.NOT_RUN:
             self.refused_sends += 1
             run.job.note_refusal()
             if isinstance(error, EndpointFullError):
-                run.attempts -= 1  # it may have room again at any time
+                run.attempts -= 1  # a full endpoint may have room again at any time
             if run.attempts < MAX_ATTEMPTS:
                 self._requeue(run)
                 return
--- a/berylproxy/send/errors.py
+++ b/berylproxy/send/errors.py
@@ -1,4 +1,4 @@
-"""How sending a task to an endpoint can go wrong."""
+"""Errors of sending a task to an endpoint."""
 
 from berylproxy.errors import BerylproxyError
 from berylproxy.models import Outcome
@@ -6,11 +6,11 @@
 
 
 class SendError(BerylproxyError):
-    """Base of this layer's errors.
+    """Base class of the errors of this package.
 
-    :cvar outcome: what is known of the task.
-    :cvar slot_result: what the holder of the slot is told.
-    :cvar was_answered: whether the endpoint itself has told the task's end.
+    :cvar outcome: the known outcome of the task.
+    :cvar slot_result: the result that is reported when the slot is released.
+    :cvar was_answered: whether the endpoint itself reported the end of the task.
     """
 
     code = "send_error"
@@ -20,7 +20,7 @@
 
 
 class EndpointUnreachableError(SendError):
-    """No connection could be made: the task was certainly not started."""
+    """No connection could be opened: the task was certainly not started."""
 
     code = "endpoint_unreachable"
     outcome = Outcome.NOT_RUN
@@ -28,7 +28,7 @@
 
 
 class EndpointFullError(SendError):
-    """The endpoint refused the task for want of room: it was not started."""
+    """The endpoint refused the task because it is full: the task was not started."""
 
     code = "endpoint_full"
     outcome = Outcome.NOT_RUN
@@ -36,7 +36,7 @@
 
 
 class EndpointLeavingError(SendError):
-    """The endpoint refused the task because it is leaving: it was not started."""
+    """The endpoint refused the task because it is leaving: the task was not started."""
 
     code = "endpoint_leaving"
     outcome = Outcome.NOT_RUN
@@ -53,7 +53,7 @@
 
 
 class AnswerTooLargeError(SendError):
-    """The task has run, but its answer is larger than allowed."""
+    """The task has run, but its response is larger than allowed."""
 
     code = "answer_too_large"
     outcome = Outcome.FAILED
@@ -62,12 +62,12 @@
 
 
 class AnswerLostError(SendError):
-    """The connection ended before the whole answer: the task may have run."""
+    """The connection ended before a complete response: the task may have run."""
 
     code = "answer_lost"
 
 
 class AnswerTimeoutError(SendError):
-    """No whole answer came in time: the task may have run."""
+    """No complete response was received in time: the task may have run."""
 
     code = "answer_timeout"
--- a/berylproxy/send/sender.py
+++ b/berylproxy/send/sender.py
@@ -1,4 +1,4 @@
-"""Carries one task to one endpoint and brings the whole answer back."""
+"""Sends a task to an endpoint and returns the complete response."""
 
 from collections.abc import Callable
 
@@ -48,7 +48,7 @@
 class TaskSender:
     """Sends tasks over the daemon's own connections.
 
-    :param count_daemons: how many daemons share the endpoints' connections.
+    :param count_daemons: returns how many daemons share each endpoint's connection limit.
     """
 
     def __init__(self, clock: Clock, count_daemons: Callable[[], int]) -> None:
@@ -61,12 +61,12 @@
     ) -> TaskResult:
         """Sends a task and returns its result, always :attr:`Outcome.DONE`.
 
-        :param timeout_s: time after which the task is given up on.
-        :raises SendError: for any other end, with what is known of the task.
+        :param timeout_s: time after which the task is abandoned.
+        :raises SendError: for any other outcome; its attributes say what is known of the task.
         """
-        connections = self._connections_of(endpoint)
+        connections = self._find_connections(endpoint)
         with move_on_after(timeout_s) as scope:
-            connection = await connections.take()
+            connection = await connections.acquire()
             try:
                 response, body = await _exchange(
                     connection, _make_request(run, connections, traceparent)
@@ -74,8 +74,8 @@
             except BaseException:
                 await _close(connection)
                 raise
-            await connections.give_back(connection)
-            return _interpret(run, response, body)
+            await connections.release(connection)
+            return _decode_response(run, response, body)
         assert scope.cancelled_caught
         raise AnswerTimeoutError(f"no answer from {endpoint.name} within {timeout_s:.3f} s")
 
@@ -89,17 +89,17 @@
         for connections in list(self._connections.values()):
             await connections.close()
 
-    def _connections_of(self, endpoint: Endpoint) -> EndpointConnections:
-        known = self._connections.get(endpoint.url)
-        if known is None:
+    def _find_connections(self, endpoint: Endpoint) -> EndpointConnections:
+        connections = self._connections.get(endpoint.url)
+        if connections is None:
 
             def max_idle() -> int:
                 spare = endpoint.connections - endpoint.slots
                 return max(1, min(endpoint.slots, spare // max(1, self._count_daemons())))
 
-            known = EndpointConnections(endpoint.url, self._clock, max_idle)
-            self._connections[endpoint.url] = known
-        return known
+            connections = EndpointConnections(endpoint.url, self._clock, max_idle)
+            self._connections[endpoint.url] = connections
+        return connections
 
 
 async def _exchange(connection: AsyncHTTPConnection, request: Request) -> tuple[Response, bytes]:
@@ -116,7 +116,7 @@
     except AnswerTooLargeError:
         raise
     except Exception as error:
-        raise AnswerLostError(f"the answer was cut short: {error!r}") from error
+        raise AnswerLostError(f"the answer was truncated: {error!r}") from error
     await response.aclose()
     return response, body
 
@@ -153,7 +153,7 @@
     return Request("POST", url, headers=headers, content=run.task.body, extensions=extensions)
 
 
-def _interpret(run: TaskRun, response: Response, body: bytes) -> TaskResult:
+def _decode_response(run: TaskRun, response: Response, body: bytes) -> TaskResult:
     headers = {name.lower(): value for name, value in response.headers}
     if response.status == STATUS_OK:
         content_type = headers.get(b"content-type", JSON_CONTENT_TYPE.encode()).decode("latin-1")
--- a/berylproxy/send/streams.py
+++ b/berylproxy/send/streams.py
@@ -1,7 +1,8 @@
-"""Byte streams below httpcore for connections to endpoints.
+"""Network backend of httpcore for connections to endpoints.
 
-The whole exchange is bounded by the sender, so that reads and writes need no time-outs of their
-own. What is written is held back until the next read: head and body of a request go out as one.
+The sender limits the time of the whole exchange, so that reads and writes ignore their own
+timeouts. Written bytes are buffered until the next read, so that the head and the body of a request
+go out in one send.
 """
 
 from collections.abc import Iterable
@@ -26,18 +27,18 @@
     WriteError,
 )
 
-MAX_HELD_BYTES = 64 * 1024
+MAX_PENDING_BYTES = 64 * 1024
 
 
 class ExchangeStream(AsyncNetworkStream):
-    """A stream that sends what was written once an answer is to be read."""
+    """A stream that buffers written bytes and sends them before the next read."""
 
     def __init__(self, stream: ByteStream) -> None:
         self._stream = stream
-        self._held = bytearray()
+        self._pending = bytearray()
 
     async def read(self, max_bytes: int, timeout: float | None = None) -> bytes:
-        """Sends what is held back and reads; empty at the end of the stream."""
+        """Sends the buffered bytes, then reads; returns no bytes at the end of the stream."""
         await self._flush()
         try:
             return await self._stream.receive(max_bytes)
@@ -47,9 +48,9 @@
             raise ReadError(str(error)) from error
 
     async def write(self, buffer: bytes, timeout: float | None = None) -> None:
-        """Holds bytes back, or sends them if they are many."""
-        self._held += buffer
-        if len(self._held) >= MAX_HELD_BYTES:
+        """Buffers bytes; sends the buffer once it is large."""
+        self._pending += buffer
+        if len(self._pending) >= MAX_PENDING_BYTES:
             await self._flush()
 
     async def aclose(self) -> None:
@@ -57,7 +58,7 @@
         await self._stream.aclose()
 
     def get_extra_info(self, info: str) -> Any:
-        """Tells whether there is something to read: on an idle connection, its end."""
+        """Returns whether the stream is readable; an idle connection is so once it has ended."""
         if info == "is_readable":
             poller = poll()
             poller.register(self._stream.extra(SocketAttribute.raw_socket), POLLIN)
@@ -65,17 +66,17 @@
         return None
 
     async def _flush(self) -> None:
-        if not self._held:
+        if not self._pending:
             return
-        held, self._held = bytes(self._held), bytearray()
+        pending, self._pending = bytes(self._pending), bytearray()
         try:
-            await self._stream.send(held)
+            await self._stream.send(pending)
         except (BrokenResourceError, ClosedResourceError) as error:
             raise WriteError(str(error)) from error
 
 
 class ExchangeBackend(AsyncNetworkBackend):
-    """Opens such streams over TCP."""
+    """Opens exchange streams over TCP."""
 
     async def connect_tcp(
         self,
@@ -85,7 +86,7 @@
         local_address: str | None = None,
         socket_options: Iterable[SOCKET_OPTION] | None = None,
     ) -> AsyncNetworkStream:
-        """Connects; the socket options stay unused."""
+        """Opens a TCP connection; socket options are ignored."""
         try:
             with fail_after(timeout):
                 return ExchangeStream(await connect_tcp(host, port, local_host=local_address))
--- a/tests/steps/platform_wire_steps.py
+++ b/tests/steps/platform_wire_steps.py
@@ -10,7 +10,7 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies
 
-from berylproxy.http_exchange import HttpAnswer
+from berylproxy.http_exchange import HttpResponse
 from berylproxy.logs import NonBlockingOutput
 from berylproxy.platform.callers import JobUnsupportedError, RequestInvalidError, decode_job
 from berylproxy.platform.configuration import ConfigurationInvalidError, decode_configuration
@@ -222,7 +222,7 @@
 @then('a runner\'s {status:d} with reason "{reason}" means "{outcome}"')
 @then('a runner\'s {status:d} with reason "" means "{outcome}"')
 def step_start_answer(context, status, outcome, reason=""):
-    answer = HttpAnswer(status, json.dumps({"reason": reason}).encode(), 0.0, 0.0)
+    answer = HttpResponse(status, json.dumps({"reason": reason}).encode(), 0.0, 0.0)
     assert decode_start(answer) == outcome, decode_start(answer)
 
 
