--- a/tests/platform/soak.feature
+++ b/tests/platform/soak.feature
@@ -1,7 +1,7 @@
 Feature: The platform's daemons keep their promises under random faults
 
-  # 50 seeds and more are played by hand: python -m tools.soak --seed N --seeds 50
+  # Runs over 50 or more seeds are started by hand: python -m tools.soak --seed N --seeds 50
 
   Scenario: a short soak
-    When the soak plays seed 4 for 8 s
-    Then every promise was kept
+    When the soak test runs with seed 4 for 8 s
+    Then the soak test finds no problem
--- a/tests/platform/wire.feature
+++ b/tests/platform/wire.feature
@@ -1,24 +1,24 @@
-Feature: What the platform writes is decoded once, and what can't be read names nothing
+Feature: Data from the platform is decoded and validated in one place; invalid data is ignored
 
-  Scenario Outline: an entry of the list is used only if it can be read
-    Given a good list entry
+  Scenario Outline: an entry of the list is used only if it is valid
+    Given a valid list entry
     When its <change>
-    Then it <verdict>
+    Then it is <verdict>
 
     Examples:
       | change                             | verdict               |
-      | bytes are as they were             | names an endpoint     |
-      | field "state" becomes "draining"   | names a leaving one   |
-      | field "state" becomes "resting"    | names nothing         |
-      | field "service" becomes 5          | names nothing         |
-      | field "address" becomes "nowhere"  | names nothing         |
-      | field "address" becomes "h:99999"  | names nothing         |
-      | field "capacity" becomes []        | names nothing         |
-      | field "capacity" becomes {"cpu":-1} | names nothing        |
-      | field "labels" becomes [1]         | names nothing         |
-      | field "born" becomes "today"       | names an endpoint     |
-      | field "extra" becomes true         | names an endpoint     |
-      | bytes are cut in half              | names nothing         |
+      | bytes are as they were             | an endpoint           |
+      | field "state" becomes "draining"   | a leaving endpoint    |
+      | field "state" becomes "resting"    | rejected              |
+      | field "service" becomes 5          | rejected              |
+      | field "address" becomes "nowhere"  | rejected              |
+      | field "address" becomes "h:99999"  | rejected              |
+      | field "capacity" becomes []        | rejected              |
+      | field "capacity" becomes {"cpu":-1} | rejected             |
+      | field "labels" becomes [1]         | rejected              |
+      | field "born" becomes "today"       | an endpoint           |
+      | field "extra" becomes true         | an endpoint           |
+      | bytes are cut in half              | rejected              |
 
   Scenario: a runner's report with rows that can't be read keeps the others
     When this report of a runner is decoded:
@@ -26,9 +26,9 @@
       {"born": 7, "running": [["00000000000000aa.0.1.2", 3, "s", 40], ["x", 1, "", 0], 5],
        "ended": [[1, "00000000000000aa.0.0.0", 1, "done", ""], [2, "00000000000000aa.0.0.1", 1, "gone", ""]]}
       """
-    Then 1 running task, 1 end and 3 unreadable rows are found
+    Then 1 running task, 1 ended run and 3 unreadable rows are found
 
-  Scenario Outline: a runner's answer to an order
+  Scenario Outline: a runner's answer to a start order
     Then a runner's <status> with reason "<reason>" means "<outcome>"
 
     Examples:
@@ -44,22 +44,22 @@
       | 503    |        | unhealthy   |
       | 500    |        | unknown     |
 
-  Scenario Outline: a step that asks for what can't be done is told apart from one that allows things
+  Scenario Outline: a step that requires an unsupported feature is rejected, a hint is ignored
     Then a step of <count> tasks with <fields> is <verdict>
 
     Examples:
       | count | fields                             | verdict      |
-      | 3     | {"speculative": true}              | taken        |
-      | 3     | {"image": "ledger-v2"}             | taken        |
-      | 3     | {"may-miss": 1}                    | taken        |
-      | 1     | {"gang": true}                     | taken        |
-      | 2     | {"gang": true}                     | not possible |
-      | 3     | {"persistent": true}               | not possible |
-      | 3     | {"image": "a", "target-ms": 20}    | not possible |
-      | 3     | {"fills": true}                    | not possible |
-      | 3     | {"rack-local": true}               | taken        |
+      | 3     | {"speculative": true}              | accepted     |
+      | 3     | {"image": "ledger-v2"}             | accepted     |
+      | 3     | {"may-miss": 1}                    | accepted     |
+      | 1     | {"gang": true}                     | accepted     |
+      | 2     | {"gang": true}                     | unsupported  |
+      | 3     | {"persistent": true}               | unsupported  |
+      | 3     | {"image": "a", "target-ms": 20}    | unsupported  |
+      | 3     | {"fills": true}                    | unsupported  |
+      | 3     | {"rack-local": true}               | accepted     |
 
-  Scenario: a queue whose endpoints an outside service names is known
+  Scenario: a queue whose endpoints are chosen by an external service is recognized
     Given a configuration whose queue has advice of 20 ms
     Then its route needs advice, and that of a queue without does not
 
@@ -69,23 +69,23 @@
     And the path "/a/0000000000000001" belongs to the queue "queue0"
     And the path "/c/0000000000000001" belongs to no queue
 
-  Scenario: wrong settings are told all at once, and where
+  Scenario: all problems of a settings file are reported together
     Given a settings file without "ip", with the number 7 as "zone" and no "[platform]"
-    Then reading it names "ip", "zone" and "platform"
+    Then loading it reports "ip", "zone" and "platform"
 
   Scenario: a settings file that is no TOML
     Given a settings file with the text "= 5"
-    Then reading it names "TOML"
+    Then loading it reports "TOML"
 
   Scenario: a job's text is bounded in bytes, as runners count it
-    Then a job with 4000 letters "a" is taken, and with 4001 or 2001 letters "č" it is refused
+    Then a job with 4000 letters "a" is accepted, and with 4001 or 2001 letters "č" it is refused
 
-  Scenario: bytes from outside never end a daemon
+  Scenario: malformed input never ends a daemon
     Then random list entries, reports, configurations and jobs are decoded or refused
 
   Scenario: a log reader that does not read loses lines and delays nobody
-    Given a pipe that nobody reads
+    Given a pipe whose reader does not read
     When 20000 log lines are written into it
-    Then the writer was never held up, and dropped lines were counted
+    Then the writer was never blocked, and dropped lines were counted
     When the pipe is read again and one more line is written
-    Then the reader is told how many lines are missing
+    Then the reader learns how many lines are missing
--- a/tests/send/streams.feature
+++ b/tests/send/streams.feature
@@ -5,15 +5,15 @@
     When "head" and "body" are written and an answer is read
     Then the stream sent "headbody" at once and read "ok"
 
-  Scenario: Much is sent before the answer is read
+  Scenario: A large write is sent without waiting for a read
     Given an exchange stream whose peer answers "ok"
     When 70000 bytes are written
     Then the stream sent 70000 bytes
 
-  Scenario Outline: Errors are told as the library's own
-    Given an exchange stream that meets a peer which <peer>
+  Scenario Outline: Errors are raised as those of the HTTP library
+    Given an exchange stream with a peer that <peer>
     When "head" and "body" are written and an answer is read
-    Then the stream's user got <result>
+    Then the stream's caller got <result>
 
     Examples:
       | peer                  | result       |
@@ -21,7 +21,7 @@
       | resets before it ends | "ReadError"  |
       | ends without answer   | ""           |
 
-  Scenario: An idle connection that its endpoint has closed is found out
+  Scenario: An idle connection that its endpoint has closed is detected
     When an exchange stream is connected to a listener on loopback
     Then the stream is not readable
     And it is readable once the listener's side has closed
--- a/tests/steps/platform_reload_steps.py
+++ b/tests/steps/platform_reload_steps.py
@@ -8,27 +8,27 @@
 from tests.steps.platform_system_steps import new_job_id
 from tests.support.platform_cluster import pick_ports
 
-LOOK_S = 0.05
-TOLD_ONCE_S = 2.5  # in which a daemon looks at its file at least twice
+POLL_INTERVAL_S = 0.05
+LOG_WAIT_S = 2.5  # a daemon checks its file at least twice in this time
 
 use_step_matcher("re")
 
 
 def find_lines(context, number, message):
-    """Finds the log lines of a daemon whose message begins so."""
+    """Returns the log lines of a daemon whose message starts with the given text."""
     cluster = context.platform_cluster
     lines = cluster.read_log(cluster.daemons[number])
     return [line for line in lines if line["message"].startswith(message)]
 
 
 @when(
-    r"the settings of daemon 0 get (?P<what>2.5 cores|another ready address)"
+    r"the settings of daemon 0 get (?P<change>2.5 cores|another ready address)"
     r"(?P<signalled> and daemon 0 gets SIGHUP)?"
 )
-def step_impl(context, what, signalled):
+def step_impl(context, change, signalled):
     cluster = context.platform_cluster
-    if what == "2.5 cores":
-        cluster.write_settings(0, more="[limits]\ncores = 2.5\n")
+    if change == "2.5 cores":
+        cluster.write_settings(0, extra_lines="[limits]\ncores = 2.5\n")
     else:
         [cluster.ports[0][3]] = pick_ports(1)
         cluster.write_settings(0)
@@ -63,33 +63,33 @@
 
 @then(
     r'daemon 0 logs "(?P<message>[\w ]+)" within (?P<wait_s>[\d.]+) s, with "(?P<name>\w+)" '
-    r"(?P<fate>applied|held)"
+    r"(?P<effect>applied|held)"
 )
-def step_impl(context, message, wait_s, name, fate):
-    until_s = monotonic() + float(wait_s)
+def step_impl(context, message, wait_s, name, effect):
+    deadline_s = monotonic() + float(wait_s)
     lines = []
-    while monotonic() < until_s and not lines:
-        sleep(LOOK_S)
+    while monotonic() < deadline_s and not lines:
+        sleep(POLL_INTERVAL_S)
         lines = find_lines(context, 0, message)
     assert lines, f"not logged within {wait_s} s"
-    names = {"applied": "applied", "held": "held_until_start"}
-    assert list(lines[-1][names[fate]]) == [name], lines[-1]
+    keys = {"applied": "applied", "held": "held_until_start"}
+    assert list(lines[-1][keys[effect]]) == [name], lines[-1]
 
 
 @then(r'daemon 0 logs "(?P<message>[\w ]+)" once, naming "(?P<named>[\w\' ]+)"')
 def step_impl(context, message, named):
-    sleep(TOLD_ONCE_S)
+    sleep(LOG_WAIT_S)
     lines = find_lines(context, 0, message)
     assert lines and all(message in line["message"] for line in lines), lines
     assert any(named in line["message"] for line in lines), lines
     assert len(lines) == len({line["message"] for line in lines}), lines
 
 
-@then(r"a kept platform job is taken within (?P<wait_s>\d+) s")
+@then(r"a durable platform job is accepted within (?P<wait_s>\d+) s")
 def step_impl(context, wait_s):
-    until_s = monotonic() + float(wait_s)
+    deadline_s = monotonic() + float(wait_s)
     answer = None
-    while monotonic() < until_s and (answer is None or answer.status_code != 200):
+    while monotonic() < deadline_s and (answer is None or answer.status_code != 200):
         answer = context.platform_cluster.submit(0, new_job_id(), 1)
-        sleep(LOOK_S)
+        sleep(POLL_INTERVAL_S)
     assert answer.status_code == 200, answer.text
--- a/tests/steps/platform_soak_steps.py
+++ b/tests/steps/platform_soak_steps.py
@@ -1,15 +1,15 @@
-"""Steps that play a short soak."""
+"""Steps that run a short soak test."""
 
 from behave import then, when
 
 from tools.soak.__main__ import play
 
 
-@when("the soak plays seed {seed:d} for {length_s:g} s")
-def step_play(context, seed, length_s):
+@when("the soak test runs with seed {seed:d} for {length_s:g} s")
+def step_run_soak(context, seed, length_s):
     context.problems = play(seed, length_s, context.folder)
 
 
-@then("every promise was kept")
-def step_kept(context):
+@then("the soak test finds no problem")
+def step_no_problem(context):
     assert not context.problems, context.problems
--- a/tests/steps/platform_status_steps.py
+++ b/tests/steps/platform_status_steps.py
@@ -1,4 +1,4 @@
-"""Steps that look at the platform's daemons with berylctl."""
+"""Steps that query the status of the platform's daemons with berylctl."""
 
 import json
 import socket
@@ -13,13 +13,13 @@
 from tests.support.platform_cluster import HOST, PREFIX, host_of
 
 BERYLCTL_TIMEOUT_S = 20.0
-CALLERS_TIMEOUT_S = 5.0  # the route's
+CALLER_TIMEOUT_S = 5.0  # the timeout of the route
 
 use_step_matcher("re")
 
 
 def show_status(number):
-    """Runs ``berylctl daemon status`` for a daemon."""
+    """Runs ``berylctl daemon status`` for a daemon and returns its output."""
     url = f"http://{host_of(number)}:{METRICS_PORT}"
     arguments = ["-m", "berylproxy.cli", "daemon", "status", "--url", url, "--output", "json"]
     done = subprocess.run(
@@ -34,7 +34,7 @@
     return json.loads(done.stdout)
 
 
-@when(r"a kept platform job of (?P<tasks>\d+) tasks is handed to each daemon")
+@when(r"a durable platform job of (?P<tasks>\d+) tasks is submitted to each daemon")
 def step_impl(context, tasks):
     cluster = context.platform_cluster
     for number in range(len(cluster.daemons)):
@@ -54,21 +54,21 @@
 
 @then(
     r"berylctl shows at the holder (?P<jobs>\d+) open jobs and (?P<endpoints>\d+) endpoints that "
-    r"take tasks"
+    r"accept tasks"
 )
 def step_impl(context, jobs, endpoints):
     [holder] = [status for status in context.statuses if status["groups"][0]["held_here"]]
     assert holder["groups"][0]["open_jobs"] == {"queue0": int(jobs)}, holder["groups"]
-    taking = [row for row in holder["endpoints"] if row["takes_tasks"]]
-    assert len(taking) == int(endpoints), holder["endpoints"]
+    accepting = [row for row in holder["endpoints"] if row["takes_tasks"]]
+    assert len(accepting) == int(endpoints), holder["endpoints"]
 
 
-@when(r"(?P<jobs>\d+) platform jobs of (?P<tasks>\d+) tasks are handed to daemon 0")
+@when(r"(?P<jobs>\d+) platform jobs of (?P<tasks>\d+) tasks are submitted to daemon 0")
 def step_impl(context, jobs, tasks):
     submit_jobs(context, [0] * int(jobs), int(tasks))
 
 
-@then(r"some of them are answered 429 with Retry-After before their time is over")
+@then(r"some of them are answered 429 with Retry-After before their timeout")
 def step_impl(context):
     answers = [future.result() for future in context.answers]
     refused = [answer for answer in answers if answer.status_code == 429]
@@ -76,10 +76,10 @@
     assert refused and done, [answer.status_code for answer in answers]
     for answer in refused:
         assert int(answer.headers["retry-after"]) >= 1
-        assert answer.elapsed.total_seconds() < CALLERS_TIMEOUT_S
+        assert answer.elapsed.total_seconds() < CALLER_TIMEOUT_S
 
 
-@when(r"a caller sends half a job to daemon 0 and no more")
+@when(r"a caller sends half a job to daemon 0 and stops sending")
 def step_impl(context):
     cluster = context.platform_cluster
     context.slow_caller = socket.create_connection((cluster.host(0), cluster.ports[0][2]))
--- a/tests/steps/platform_system_steps.py
+++ b/tests/steps/platform_system_steps.py
@@ -1,4 +1,4 @@
-"""Steps that run the daemon for the users' platform with its stand-ins."""
+"""Steps that run the daemon for the users' platform with the platform's stand-ins."""
 
 import signal
 from concurrent.futures import ThreadPoolExecutor
@@ -21,12 +21,12 @@
 
 
 def new_job_id():
-    """Makes a job's identifier as callers do."""
+    """Returns a new job identifier in the format that callers use."""
     return f"{next(job_numbers):016x}"
 
 
 def submit_jobs(context, daemons, tasks):
-    """Hands one job to each of some daemons, without waiting for the answers."""
+    """Submits a best-effort job to each of the daemons without waiting for the answers."""
     cluster = context.platform_cluster
     context.answers = [
         context.pool.submit(cluster.submit, number, new_job_id(), tasks, **{"best-effort": True})
@@ -35,19 +35,19 @@
 
 
 def wait_for_states(context, state, wait_s):
-    """Waits until every daemon shows a state of the last kept job."""
+    """Waits until every daemon shows the given state of the last durable job."""
     cluster = context.platform_cluster
-    until_s = monotonic() + wait_s
-    shown = []
-    while monotonic() < until_s:
-        shown = [
-            cluster.request(number, "GET", PREFIX + context.kept_id).json().get("state")
+    deadline_s = monotonic() + wait_s
+    states = []
+    while monotonic() < deadline_s:
+        states = [
+            cluster.request(number, "GET", PREFIX + context.durable_job_id).json().get("state")
             for number in range(len(cluster.daemons))
         ]
-        if set(shown) == {state}:
+        if set(states) == {state}:
             return
         sleep(0.05)
-    raise AssertionError(shown)
+    raise AssertionError(states)
 
 
 use_step_matcher("re")
@@ -66,21 +66,21 @@
     cluster.start()
 
 
-@when(r"platform jobs of (?P<tasks>\d+) tasks? are handed to each daemon")
+@when(r"platform jobs of (?P<tasks>\d+) tasks? are submitted to each daemon")
 def step_impl(context, tasks):
     submit_jobs(context, range(len(context.platform_cluster.daemons)), int(tasks))
 
 
 @when(
-    r"platform jobs of (?P<tasks>\d+) tasks? are handed to the daemons that are not the holder, "
-    r"which is (?P<fate>killed|frozen)"
+    r"platform jobs of (?P<tasks>\d+) tasks? are submitted to the daemons that are not the holder, "
+    r"which is (?P<fault>killed|frozen)"
 )
-def step_impl(context, tasks, fate):
+def step_impl(context, tasks, fault):
     cluster = context.platform_cluster
     holder = cluster.find_holder()
     submit_jobs(context, [n for n in range(len(cluster.daemons)) if n != holder], int(tasks))
     sleep(0.2)
-    if fate == "killed":
+    if fault == "killed":
         cluster.daemons[holder].kill()
         return
     cluster.daemons[holder].freeze()
@@ -89,18 +89,18 @@
 
 
 @when(
-    r"platform jobs of (?P<tasks>\d+) tasks? are handed to each daemon and the holder is told to "
-    r"stop(?:, and gets (?P<meanwhile>SIGHUP|SIGTERM) meanwhile)?"
+    r"platform jobs of (?P<tasks>\d+) tasks? are submitted to each daemon and the holder is asked "
+    r"to stop(?:, and gets (?P<second_signal>SIGHUP|SIGTERM) meanwhile)?"
 )
-def step_impl(context, tasks, meanwhile=None):
+def step_impl(context, tasks, second_signal=None):
     cluster = context.platform_cluster
     holder = cluster.find_holder()
     submit_jobs(context, range(len(cluster.daemons)), int(tasks))
     sleep(0.2)
-    if meanwhile:
+    if second_signal:
         cluster.daemons[holder].send_signal(signal.SIGTERM)
         sleep(0.3)
-        cluster.daemons[holder].send_signal(signal.Signals[meanwhile])
+        cluster.daemons[holder].send_signal(signal.Signals[second_signal])
         context.stop_status = cluster.daemons[holder].wait(STOP_TIMEOUT_S)
     else:
         context.stop_status = cluster.daemons[holder].terminate(STOP_TIMEOUT_S)
@@ -109,8 +109,8 @@
 @when(r"the holder is killed")
 def step_impl(context):
     cluster = context.platform_cluster
-    context.killed = cluster.find_holder()
-    cluster.daemons[context.killed].kill()
+    context.killed_daemon = cluster.find_holder()
+    cluster.daemons[context.killed_daemon].kill()
 
 
 @when(r"the platform's store refuses all calls")
@@ -118,27 +118,28 @@
     context.platform_cluster.switch_store(busy=True)
 
 
-@when(r'the platform\'s configuration gets the prefix "(?P<prefix>[/\w]+)" in place of the old one')
+@when(r'the platform\'s configuration replaces the old prefix by "(?P<prefix>[/\w]+)"')
 def step_impl(context, prefix):
     context.platform_cluster.configure(make_configuration(9, [prefix]))
 
 
-@when(r"a kept platform job of (?P<tasks>\d+) tasks is handed to daemon 0 twice")
+@when(r"a durable platform job of (?P<tasks>\d+) tasks is submitted to daemon 0 twice")
 def step_impl(context, tasks):
-    context.kept_id = new_job_id()
+    context.durable_job_id = new_job_id()
     for _ in range(2):
-        answer = context.platform_cluster.submit(0, context.kept_id, int(tasks))
+        answer = context.platform_cluster.submit(0, context.durable_job_id, int(tasks))
         assert answer.status_code == 200, answer.text
 
 
 @when(
-    r"a kept platform job of (?P<tasks>\d+) tasks is handed to daemon 1 and cancelled at daemon 0"
+    r"a durable platform job of (?P<tasks>\d+) tasks is submitted to daemon 1 and cancelled at "
+    r"daemon 0"
 )
 def step_impl(context, tasks):
-    context.kept_id = new_job_id()
-    answer = context.platform_cluster.submit(1, context.kept_id, int(tasks))
+    context.durable_job_id = new_job_id()
+    answer = context.platform_cluster.submit(1, context.durable_job_id, int(tasks))
     assert answer.status_code == 200, answer.text
-    answer = context.platform_cluster.request(0, "DELETE", PREFIX + context.kept_id)
+    answer = context.platform_cluster.request(0, "DELETE", PREFIX + context.durable_job_id)
     assert answer.status_code == 200, answer.text
 
 
@@ -161,7 +162,7 @@
     assert context.stop_status == int(status), context.stop_status
 
 
-@then(r'platform job "(?P<job_id>\w+)" was never heard of at any daemon')
+@then(r'platform job "(?P<job_id>\w+)" is unknown to every daemon')
 def step_impl(context, job_id):
     cluster = context.platform_cluster
     for number in range(len(cluster.daemons)):
@@ -169,7 +170,7 @@
 
 
 @then(
-    r'each daemon takes jobs under "(?P<prefix>[/\w]+)" within (?P<wait_s>\d+) s and answers 404 '
+    r'each daemon accepts jobs under "(?P<prefix>[/\w]+)" within (?P<wait_s>\d+) s and answers 404 '
     r"under the old prefix"
 )
 def step_impl(context, prefix, wait_s):
@@ -185,7 +186,7 @@
     wait_for_states(context, state, float(wait_s))
 
 
-@then(r"a kept platform job is refused with 503 and Retry-After")
+@then(r"a durable platform job is refused with 503 and Retry-After")
 def step_impl(context):
     answer = context.platform_cluster.submit(0, new_job_id(), 1)
     assert answer.status_code == 503 and int(answer.headers["retry-after"]) > 0, answer.text
@@ -193,10 +194,10 @@
 
 @then(r'a platform job at the other daemon is answered 200 as "completed" within (?P<wait_s>\d+) s')
 def step_impl(context, wait_s):
-    other = 1 - context.killed
-    until_s = monotonic() + float(wait_s)
+    other = 1 - context.killed_daemon
+    deadline_s = monotonic() + float(wait_s)
     answer = None
-    while monotonic() < until_s and (answer is None or answer.status_code != 200):
+    while monotonic() < deadline_s and (answer is None or answer.status_code != 200):
         answer = context.platform_cluster.submit(other, new_job_id(), 2, **{"best-effort": True})
     assert answer.json() == {"state": "completed"}, answer.text
 
--- a/tests/steps/platform_wire_steps.py
+++ b/tests/steps/platform_wire_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the decoding of what the platform, its runners and callers send."""
+"""Steps that decode data of the platform, its runners and its callers."""
 
 import contextlib
 import json
@@ -6,7 +6,7 @@
 from time import monotonic
 
 from behave import given, then, use_step_matcher, when
-from hypothesis import given as with_examples
+from hypothesis import given as hypothesis_given
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies
 
@@ -20,7 +20,7 @@
 from berylproxy.store.port import Entry
 from tests.support.platform_cluster import HOST, make_configuration
 
-GOOD_ENTRY = {
+VALID_ENTRY = {
     "service": "ledger",
     "address": "10.0.0.1:80",
     "zone": "a",
@@ -41,25 +41,25 @@
     | strategies.integers()
     | strategies.floats(allow_nan=False)
     | strategies.text(max_size=8),
-    lambda inner: strategies.lists(inner, max_size=4)
-    | strategies.dictionaries(strategies.text(max_size=8), inner, max_size=4),
+    lambda children: strategies.lists(children, max_size=4)
+    | strategies.dictionaries(strategies.text(max_size=8), children, max_size=4),
     max_leaves=12,
 )
 
 
-def fuzzed(good):
-    """Makes objects with the field names of a good one and any values."""
-    fields = {name: json_values | strategies.just(value) for name, value in good.items()}
+def make_variants(valid):
+    """Generates objects with some of the fields of a valid one and arbitrary values."""
+    fields = {name: json_values | strategies.just(value) for name, value in valid.items()}
     return strategies.fixed_dictionaries({}, optional=fields)
 
 
 use_step_matcher("re")
 
 
-@given(r"a good list entry")
+@given(r"a valid list entry")
 def step_impl(context):
-    context.entry_fields = dict(GOOD_ENTRY)
-    context.entry_bytes = json.dumps(GOOD_ENTRY).encode()
+    context.entry_fields = dict(VALID_ENTRY)
+    context.entry_bytes = json.dumps(VALID_ENTRY).encode()
 
 
 @when(r'its field "(?P<name>\w+)" becomes (?P<value>.+)')
@@ -68,20 +68,20 @@
     context.entry_bytes = json.dumps(context.entry_fields).encode()
 
 
-@when(r"its bytes are (?P<fate>as they were|cut in half)")
-def step_impl(context, fate):
-    if fate == "cut in half":
+@when(r"its bytes are (?P<damage>as they were|cut in half)")
+def step_impl(context, damage):
+    if damage == "cut in half":
         context.entry_bytes = context.entry_bytes[: len(context.entry_bytes) // 2]
 
 
-@then(r"it names (?P<verdict>an endpoint|a leaving one|nothing)")
+@then(r"it is (?P<verdict>an endpoint|a leaving endpoint|rejected)")
 def step_impl(context, verdict):
     info = decode_entry(Entry("servers/e1", context.entry_bytes, 1))
-    if verdict == "nothing":
+    if verdict == "rejected":
         assert info is None, info
         return
     assert info.instance.endpoint_id == "e1"
-    assert info.leaving == (verdict == "a leaving one")
+    assert info.leaving == (verdict == "a leaving endpoint")
     assert (info.kind, info.rack) == ("b", "r1-2")
 
 
@@ -90,7 +90,7 @@
     context.report = decode_report(json.loads(context.text), 0.0)
 
 
-@then(r"1 running task, 1 end and 3 unreadable rows are found")
+@then(r"1 running task, 1 ended run and 3 unreadable rows are found")
 def step_impl(context):
     report = context.report
     assert (len(report.running), len(report.ended), report.unreadable) == (1, 1, 3), report
@@ -99,8 +99,8 @@
 
 @given(r'a configuration with the prefixes "(?P<first>[/\w]+)" and "(?P<second>[/\w]+)"')
 def step_impl(context, first, second):
-    written = json.dumps(make_configuration(4, [first, second])).encode()
-    context.platform_configuration = decode_configuration(written)
+    encoded = json.dumps(make_configuration(4, [first, second])).encode()
+    context.platform_configuration = decode_configuration(encoded)
 
 
 @then(r'the path "(?P<path>[/\w]+)" belongs to (?:the queue "(?P<queue>\w+)"|no queue)')
@@ -124,7 +124,7 @@
     context.settings_path.write_text(text)
 
 
-@then(r"reading it names (?P<names>.+)")
+@then(r"loading it reports (?P<names>.+)")
 def step_impl(context, names):
     try:
         load_platform_settings(str(context.settings_path))
@@ -132,21 +132,21 @@
         wanted = [name.strip('"') for name in names.replace(" and ", ", ").split(", ")]
         assert all(any(name in problem for problem in error.problems) for name in wanted), error
     else:
-        raise AssertionError("the settings were taken")
+        raise AssertionError("the settings were accepted")
 
 
-@then(r'a job with 4000 letters "a" is taken, and with 4001 or 2001 letters "č" it is refused')
+@then(r'a job with 4000 letters "a" is accepted, and with 4001 or 2001 letters "č" it is refused')
 def step_impl(context):
-    written = json.dumps(make_configuration(4, ["/a/"])).encode()
-    route = decode_configuration(written).routes[0]
-    for payload, taken in (("a" * 4000, True), ("a" * 4001, False), ("č" * 2001, False)):
+    encoded = json.dumps(make_configuration(4, ["/a/"])).encode()
+    route = decode_configuration(encoded).routes[0]
+    for payload, is_accepted in (("a" * 4000, True), ("a" * 4001, False), ("č" * 2001, False)):
         body = json.dumps({"spec": payload, "steps": [{"count": 1}]}).encode()
         try:
             decode_job("0" * 16, route, body)
         except RequestInvalidError:
-            assert not taken, len(payload)
+            assert not is_accepted, len(payload)
         else:
-            assert taken, len(payload)
+            assert is_accepted, len(payload)
 
 
 @then(r"random list entries, reports, configurations and jobs are decoded or refused")
@@ -158,12 +158,14 @@
     job = {"spec": "x", "best-effort": True}
 
     @hypothesis_settings(max_examples=FUZZ_EXAMPLES, deadline=None, database=None)
-    @with_examples(
-        fuzzed(GOOD_ENTRY),
-        fuzzed({"running": [["a.0.1.2", 1, "", 5]], "ended": [[1, "a.0.1.2", 1, "done", ""]]}),
-        fuzzed(configuration),
-        fuzzed(job),
-        fuzzed(step),
+    @hypothesis_given(
+        make_variants(VALID_ENTRY),
+        make_variants(
+            {"running": [["a.0.1.2", 1, "", 5]], "ended": [[1, "a.0.1.2", 1, "done", ""]]}
+        ),
+        make_variants(configuration),
+        make_variants(job),
+        make_variants(step),
     )
     def check(entry, report, config, fields, one_step):
         decode_entry(Entry("servers/e1", json.dumps(entry).encode(), 1))
@@ -176,7 +178,7 @@
     check()
 
 
-@given(r"a pipe that nobody reads")
+@given(r"a pipe whose reader does not read")
 def step_impl(context):
     context.pipe_reader, writer = os.pipe()
     context.add_cleanup(os.close, context.pipe_reader)
@@ -192,7 +194,7 @@
     context.write_s = monotonic() - started_s
 
 
-@then(r"the writer was never held up, and dropped lines were counted")
+@then(r"the writer was never blocked, and dropped lines were counted")
 def step_impl(context):
     assert context.write_s < MAX_WRITE_S, context.write_s
     assert context.log_output.dropped > 0
@@ -209,7 +211,7 @@
             context.log_output.write('{"message": "the last"}\n')
 
 
-@then(r"the reader is told how many lines are missing")
+@then(r"the reader learns how many lines are missing")
 def step_impl(context):
     lines = [json.loads(line) for line in context.read_text.splitlines()]
     notices = [line for line in lines if line["message"] == "log lines were dropped"]
@@ -233,9 +235,9 @@
     try:
         job = decode_job("0" * 16, route, body)
     except JobUnsupportedError:
-        assert verdict == "not possible"
+        assert verdict == "unsupported"
     else:
-        assert verdict == "taken" and job.steps[0].count == count
+        assert verdict == "accepted" and job.steps[0].count == count
 
 
 @given("a configuration whose queue has advice of {decide_ms:d} ms")
--- a/tests/steps/send_streams_steps.py
+++ b/tests/steps/send_streams_steps.py
@@ -13,11 +13,11 @@
 CLOSE_TIMEOUT_S = 10.0
 
 
-class PeerStream:
+class ScriptedPeerStream:
     """A byte stream with a scripted peer.
 
-    :param send_error: raised by each send.
-    :param answer: what a read gives, or raises.
+    :param send_error: exception that each send raises.
+    :param answer: bytes that each read returns, or an exception that it raises.
     """
 
     def __init__(self, send_error, answer):
@@ -26,19 +26,19 @@
         self._answer = answer
 
     async def send(self, item):
-        """Notes what is sent."""
+        """Records the sent bytes."""
         if self._send_error is not None:
             raise self._send_error
         self.sent.append(item)
 
     async def receive(self, max_bytes):
-        """Gives the answer."""
+        """Returns or raises the scripted answer."""
         if isinstance(self._answer, Exception):
             raise self._answer
         return self._answer
 
 
-PEERS = {
+PEER_STREAMS = {
     "has reset": (BrokenResourceError(), b""),
     "resets before it ends": (None, BrokenResourceError()),
     "ends without answer": (None, EndOfStream()),
@@ -47,12 +47,12 @@
 
 @given('an exchange stream whose peer answers "{answer}"')
 def step_answering(context, answer):
-    context.peer = PeerStream(None, answer.encode())
+    context.peer = ScriptedPeerStream(None, answer.encode())
 
 
-@given("an exchange stream that meets a peer which {behaviour}")
+@given("an exchange stream with a peer that {behaviour}")
 def step_misbehaving(context, behaviour):
-    context.peer = PeerStream(*PEERS[behaviour])
+    context.peer = ScriptedPeerStream(*PEER_STREAMS[behaviour])
 
 
 @when('"{head}" and "{body}" are written and an answer is read')
@@ -85,15 +85,15 @@
     assert [len(item) for item in context.peer.sent] == [count]
 
 
-@then('the stream\'s user got "{result}"')
-@then('the stream\'s user got ""')
+@then('the stream\'s caller got "{result}"')
+@then('the stream\'s caller got ""')
 def step_result(context, result=""):
     assert context.stream_result == result, context.stream_result
 
 
 @when("an exchange stream is connected to a listener on loopback")
 def step_connect(context):
-    async def look():
+    async def check_readable():
         with socket.create_server(("127.0.0.1", 0)) as listener:
             host, port = listener.getsockname()
             stream = await ExchangeBackend().connect_tcp(host, port)
@@ -106,7 +106,7 @@
             await stream.aclose()
             return before, after
 
-    context.readable = run(look)
+    context.readable = run(check_readable)
 
 
 @then("the stream is not readable")
--- a/tests/support/platform_cluster.py
+++ b/tests/support/platform_cluster.py
@@ -1,4 +1,4 @@
-"""The users' platform in small: its stand-ins and daemons as processes on the loopback."""
+"""Runs a small platform: its stand-ins and daemons as processes on loopback addresses."""
 
 import json
 import os
@@ -39,21 +39,21 @@
 
 
 def pick_ports(count: int) -> list[int]:
-    """Picks ports that are free at this moment."""
+    """Returns ports that are free at this moment."""
     with ExitStack() as stack:
         sockets = [stack.enter_context(socket.socket()) for _ in range(count)]
-        for each in sockets:
-            each.bind(("127.0.0.1", 0))
-        return [each.getsockname()[1] for each in sockets]
+        for bound_socket in sockets:
+            bound_socket.bind(("127.0.0.1", 0))
+        return [bound_socket.getsockname()[1] for bound_socket in sockets]
 
 
 def host_of(number: int, subnet: int = 1) -> str:
-    """Gives each daemon a loopback address of its own, as their metrics have a fixed port."""
+    """Returns a daemon's own loopback address; the fixed metrics port requires separate ones."""
     return f"127.0.{subnet}.{number + 1}"
 
 
 def make_configuration(version: int, prefixes: list[str]) -> dict:
-    """Makes a version of the operator's configuration."""
+    """Returns a version of the operator's configuration."""
     routes = [
         {
             "name": f"queue{number}",
@@ -89,7 +89,7 @@
 
 @dataclass
 class PlatformCluster:
-    """Starts the processes and ends what it started."""
+    """Starts the processes of a platform and ends them on close."""
 
     folder: Path
     daemon_count: int
@@ -120,32 +120,32 @@
         self.stack.close()
 
     def host(self, number: int) -> str:
-        """Gives a daemon's loopback address."""
+        """Returns a daemon's loopback address."""
         return host_of(number, self.subnet)
 
     def start_runner(self, number: int) -> ManagedProcess:
         """Starts a runner."""
         return self.start_named_runner(f"r{number}")
 
-    def start_named_runner(self, name: str, *more: str) -> ManagedProcess:
-        """Starts a runner under an identifier, with more options."""
-        options = ["--name", name, "--store-url", self.store.url, *more]
+    def start_named_runner(self, name: str, *extra_options: str) -> ManagedProcess:
+        """Starts a runner under the given identifier, with extra options."""
+        options = ["--name", name, "--store-url", self.store.url, *extra_options]
         options += ["--run-time-s", str(self.run_time_s), "--service", SERVICE]
         return self._start(name, ["-m", "standins.runner", *options])
 
     def url_of(self, number: int) -> str:
-        """Gives the URL where callers reach a daemon."""
+        """Returns the URL at which a daemon serves callers."""
         return f"http://{self.host(number)}:{self.ports[number][2]}"
 
     def settings_path(self, number: int) -> Path:
-        """Names a daemon's settings file."""
+        """Returns the path of a daemon's settings file."""
         return self.folder / f"d{number}.toml"
 
-    def write_settings(self, number: int, *, store_port: int = 0, more: str = "") -> None:
+    def write_settings(self, number: int, *, store_port: int = 0, extra_lines: str = "") -> None:
         """Writes a daemon's settings file.
 
-        :param store_port: of what stands for the store; 0 for the store itself.
-        :param more: lines at the end of the file.
+        :param store_port: loopback port of a relay to the store; 0 for the store itself.
+        :param extra_lines: lines that are appended to the file.
         """
         content = SETTINGS.format(
             name=f"d{number}",
@@ -154,7 +154,7 @@
             store_port=store_port or self.store.announced["port"],
             grace_s=self.grace_s,
         )
-        self.settings_path(number).write_text(content + more)
+        self.settings_path(number).write_text(content + extra_lines)
 
     def start_relay(self, name: str, port: int) -> ManagedProcess:
         """Starts a relay to a loopback port."""
@@ -170,20 +170,26 @@
         return self.stack.enter_context(daemon)
 
     def wait_ready(self, number: int) -> None:
-        """Waits until a daemon takes connections."""
-        until_s = monotonic() + READY_TIMEOUT_S
+        """Waits until a daemon is ready and knows a holder."""
+        deadline_s = monotonic() + READY_TIMEOUT_S
         url = f"http://{self.host(number)}:{self.ports[number][3]}/-/ready"
-        while monotonic() < until_s:
+        while monotonic() < deadline_s:
             try:
-                if self.client.get(url).status_code == 200 and self.count_pending(number) == 200:
+                if (
+                    self.client.get(url).status_code == 200
+                    and self.get_pending_status(number) == 200
+                ):
                     return
             except HTTPError:
                 pass
             sleep(0.05)
         raise AssertionError(f"daemon {number} is not ready")
 
-    def count_pending(self, number: int) -> int:
-        """Asks for the waiting jobs, which works once a holder is known; returns the status."""
+    def get_pending_status(self, number: int) -> int:
+        """Requests the number of pending jobs, which succeeds once a holder is known.
+
+        :returns: the HTTP status.
+        """
         return self.request(number, "GET", PREFIX).status_code
 
     def request(self, number: int, method: str, path: str, body: dict | None = None) -> Response:
@@ -192,7 +198,7 @@
         return self.client.request(method, url, json=body, headers={"Host": HOST})
 
     def submit(self, number: int, job_id: str, tasks: int, **fields: object) -> Response:
-        """Hands a job in."""
+        """Submits a job with one step."""
         step = {"count": tasks, "cpu": 20000, "mem-mb": 64, "estimate-ms": 100}
         body = {"spec": "payload", "steps": [step], **fields}
         return self.request(number, "POST", PREFIX + job_id, body)
@@ -208,7 +214,7 @@
         self.client.post(url, json=switches).raise_for_status()
 
     def find_holder(self) -> int:
-        """Finds the daemon that has become the holder last, by its log."""
+        """Returns the number of the daemon that became the holder last, according to the logs."""
         claims = []
         for number, daemon in enumerate(self.daemons):
             for line in self.read_log(daemon):
@@ -223,7 +229,7 @@
         return [json.loads(line) for line in lines if line.startswith("{")]
 
     def read_history(self) -> list[Run]:
-        """Reads what all runners have started and ended."""
+        """Returns the starts and ends of runs at all runners, in order of time."""
         history = []
         for runner in self.runners:
             rows = self.client.get(f"{runner.url}/control/history").json()["history"]
--- a/tools/soak/world.py
+++ b/tools/soak/world.py
@@ -40,12 +40,14 @@
     _lives: dict[int, int] = field(default_factory=dict)
     _restarting: Lock = field(default_factory=Lock)
 
-    def write_settings(self, number: int, *, store_port: int = 0, more: str = "") -> None:
+    def write_settings(self, number: int, *, store_port: int = 0, extra_lines: str = "") -> None:
         """Writes a daemon's settings file, with a relay of its own in place of the store."""
         name = f"store-{number}"
         if name not in self.relays:
             self.relays[name] = self.start_relay(name, self.store.announced["port"])
-        super().write_settings(number, store_port=self.relays[name].announced["port"], more=more)
+        super().write_settings(
+            number, store_port=self.relays[name].announced["port"], extra_lines=extra_lines
+        )
 
     def start_runner(self, number: int) -> ManagedProcess:
         """Starts a runner behind a relay; its history goes to a file that outlives it."""
