--- a/berylproxy/platform/daemon.py
+++ b/berylproxy/platform/daemon.py
@@ -45,15 +45,12 @@
 MEMBER_LEASE_S = 6.0  # a lost VM is removed from the list within this time
 MEMBER_RENEWAL_INTERVAL_S = 2.0
 MEMBER_LIST_INTERVAL_S = 1.0
-CONFIGURATION_WATCH_S = (
-    0.9  # a hung watch is detected within the 2 s in which a version must take effect
-)
+# A hung watch is detected within the 2 s in which a version must take effect.
+CONFIGURATION_WATCH_S = 0.9
 RETRY_DELAY_S = 0.1
 INCARNATION_BYTES = 6
-MAX_STORE_SILENCE_S = (
-    3.0  # without store and holder for longer, the daemon is not ready for new callers
-)
-BALANCER_DETECTION_S = 2.5  # the load balancer probes once a second and reacts to two failures
+MAX_STORE_SILENCE_S = 3.0  # after longer without store and holder the daemon is not ready
+BALANCER_DETECTION_S = 2.5  # the load balancer probes once a second; two failures remove a daemon
 DRAIN_SHARE = 0.85  # of the grace time; jobs unfinished after it are answered as unknown
 LAST_RESPONSES_TIMEOUT_S = 0.4  # for writing the last responses
 
