--- a/berylproxy/pipeline.py
+++ b/berylproxy/pipeline.py
@@ -185,7 +185,7 @@
     async def run(self, task_group: TaskGroup) -> None:
         """Processes waiting tasks and slot messages until cancelled."""
         self._task_group = task_group
-        self._dispatcher.bind(task_group)
+        self._dispatcher.set_task_group(task_group)
         task_group.start_soon(self._tick)
         while True:
             await self._changed.wait()
