--- a/berylproxy/durable/contention.py
+++ b/berylproxy/durable/contention.py
@@ -1,11 +1,12 @@
-"""Who becomes the holder of a group, and when. The decisions are pure.
+"""Decides which daemon becomes the holder of a group, and when. All functions are pure.
 
-A claim needs no lease: whoever takes the holder for dead replaces its claim by compare-and-swap,
-and the revision of the new claim makes the fence under which endpoints refuse the former holder. A
-wrong suspicion costs a change of holder and no work.
+A claim needs no lease: a daemon that suspects the holder of having failed replaces its claim by
+compare-and-swap. The fence (fencing token) of the new claim derives from its store revision;
+endpoints refuse orders under a lower fence, and so those of the former holder. A wrong suspicion
+costs a change of holder, but no work is lost.
 
-While the store is away no claim can be replaced. A daemon then takes a provisional fence between
-those of two claims: above the last claim known, below any later one.
+While the store is unavailable no claim can be replaced. A daemon may then act as a provisional
+holder, under a fence between those of two claims: above the last known claim, below any later one.
 """
 
 from collections import Counter
@@ -13,10 +14,10 @@
 from dataclasses import dataclass
 from hashlib import blake2b
 
-SUSPICION_S = 0.45  # three heartbeats of the holder
-BROKEN_STREAM_SUSPICION_S = 0.1  # its process has ended, or is just about to be dialled again
-RANK_DELAY_S = 0.05  # a claim and its first heartbeat take some 15 ms
-LONELY_DELAY_S = 3.0  # until the entries of lost VMs have left the list of members
+SUSPICION_TIMEOUT_S = 0.45  # three heartbeats of the holder
+BROKEN_STREAM_TIMEOUT_S = 0.1  # the holder's process has ended, or a redial is about to reach it
+RANK_DELAY_S = 0.05  # per rank; a claim and its first heartbeat take some 15 ms
+MINORITY_DELAY_S = 3.0  # until the entries of lost VMs have left the list of members
 FENCES_PER_CLAIM = 16  # one for the claim itself, the others for provisional holders by rank
 
 
@@ -24,18 +25,19 @@
 class Candidate:
     """A daemon that may become the holder.
 
-    :param cores: processor share of its VM; larger VMs go first ...
-    :param holds: ... among those that hold as few groups.
+    :param cores: processor share of its VM; among daemons that hold equally many groups, those
+        with more cores go first.
+    :param held_group_count: number of groups that it holds; daemons with fewer go first.
     """
 
     daemon_id: str
     cores: float
-    holds: int = 0
+    held_group_count: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class HolderObservation:
-    """What a daemon knows of the present holder.
+    """What a daemon knows of the current holder.
 
     :param silence_s: time since its last heartbeat, or since this daemon began to wait for one.
     :param has_stream: whether there is an open stream to it.
@@ -48,69 +50,96 @@
 
 
 def rank(group: str, own: Candidate, others: Sequence[Candidate]) -> int:
-    """Returns how many live candidates go before this one."""
-    own_key = _preference(group, own)
-    return sum(_preference(group, other) < own_key for other in others)
+    """Returns how many other candidates precede this daemon; 0 for the first candidate.
+
+    All daemons that see the same candidates agree on their order, which differs by group so that
+    groups are spread over equal daemons.
+    """
+    own_key = _preference_key(group, own)
+    return sum(_preference_key(group, other) < own_key for other in others)
 
 
 def should_claim(observation: HolderObservation, own_rank: int, reached: int, listed: int) -> bool:
-    """Tells whether this daemon should claim the group now.
+    """Returns whether this daemon should claim the group now.
+
+    A daemon that reaches less than half of the listed others waits longer: it may be the one that
+    is cut off.
 
-    :param reached: other daemons that it has streams to, without the holder.
-    :param listed: other daemons that the store lists, without the holder.
+    :param own_rank: number of candidates that precede this daemon.
+    :param reached: number of other daemons that it has streams to, without the holder.
+    :param listed: number of other daemons that the store lists, without the holder.
     """
-    limit_s = _suspicion_s(observation) + own_rank * RANK_DELAY_S
+    limit_s = _suspicion_timeout_s(observation) + own_rank * RANK_DELAY_S
     if 2 * reached < listed:
-        limit_s += LONELY_DELAY_S
+        limit_s += MINORITY_DELAY_S
     return observation.silence_s >= limit_s
 
 
 def is_suspect(observation: HolderObservation) -> bool:
-    """Tells whether any daemon may claim the group now, without the cost of ranking them."""
-    return observation.silence_s >= _suspicion_s(observation)
+    """Returns whether any daemon might claim the group now.
+
+    A cheap check before :func:`should_claim`, for which the candidates must be ranked.
+    """
+    return observation.silence_s >= _suspicion_timeout_s(observation)
 
 
-def _suspicion_s(observation: HolderObservation) -> float:
+def _suspicion_timeout_s(observation: HolderObservation) -> float:
     if observation.is_leaving:
         return 0.0
-    return SUSPICION_S if observation.has_stream else BROKEN_STREAM_SUSPICION_S
+    return SUSPICION_TIMEOUT_S if observation.has_stream else BROKEN_STREAM_TIMEOUT_S
 
 
-def may_replace(seen_fence: int, known_fence: int, read_fence: int) -> bool:
-    """Tells whether a claim that was read may still be replaced.
+def may_replace_claim(fence_at_decision: int, current_fence: int, stored_fence: int) -> bool:
+    """Returns whether the stored claim may be replaced, because no newer holder has appeared.
 
-    :param seen_fence: the newest fence known when the decision to claim was made.
-    :param known_fence: the newest fence known now, after the read.
-    :param read_fence: the fence of the claim that was read.
+    Between the decision to claim and the read of the stored claim another daemon may have become
+    the holder. Its claim is not replaced, whether it was seen in a heartbeat or in the store.
+
+    :param fence_at_decision: the newest fence known when the decision to claim was made.
+    :param current_fence: the newest fence known after the read.
+    :param stored_fence: the fence of the claim that was read.
     """
-    return known_fence == seen_fence and read_fence <= seen_fence
+    return current_fence == fence_at_decision and stored_fence <= fence_at_decision
 
 
 def claim_fence(revision: int) -> int:
-    """Returns the fence of a claim."""
+    """Returns the fence of the claim with the given store revision."""
     return revision * FENCES_PER_CLAIM
 
 
 def provisional_fence(known_fence: int, own_rank: int) -> int:
-    """Returns the fence of a holder without a claim; 0 if there is none left."""
+    """Returns the fence for a provisional holder; 0 if none is left before the next claim's.
+
+    The fence is above the known one. Daemons of different rank usually get different fences.
+
+    :param known_fence: the fence of the newest known holder.
+    :param own_rank: number of candidates that precede this daemon.
+    """
     first = known_fence - known_fence % FENCES_PER_CLAIM
     fence = max(known_fence, first + own_rank) + 1
     return fence if fence < first + FENCES_PER_CLAIM else 0
 
 
-def may_hold_provisionally(reached_domains: Counter, listed_domains: Counter, own: str) -> bool:
-    """Tells whether a daemon without the store may act as holder for those that it reaches.
+def may_hold_provisionally(
+    reached_domains: Counter, listed_domains: Counter, own_domain: str
+) -> bool:
+    """Returns whether a daemon without the store may act as holder for the daemons it reaches.
 
-    Either it reaches half of the daemons, or exactly its own failure domain, which is then cut off.
+    Either it reaches at least half of the daemons, or exactly those of its own failure domain,
+    which is then cut off.
 
-    :param reached_domains: reached daemons by failure domain, this one included.
-    :param listed_domains: all daemons by failure domain.
+    :param reached_domains: number of reached daemons by failure domain, this one included.
+    :param listed_domains: number of all daemons by failure domain.
     """
     if 2 * reached_domains.total() >= listed_domains.total():
         return True
-    return set(reached_domains) == {own} and reached_domains[own] >= listed_domains[own]
+    return (
+        set(reached_domains) == {own_domain}
+        and reached_domains[own_domain] >= listed_domains[own_domain]
+    )
 
 
-def _preference(group: str, candidate: Candidate) -> tuple[int, float, bytes]:
+def _preference_key(group: str, candidate: Candidate) -> tuple[int, float, bytes]:
+    """Returns the sort key of a candidate for a group; the lowest becomes the holder."""
     name = f"{group}/{candidate.daemon_id}".encode()
-    return candidate.holds, -candidate.cores, blake2b(name, digest_size=8).digest()
+    return candidate.held_group_count, -candidate.cores, blake2b(name, digest_size=8).digest()
--- a/berylproxy/durable/coordinator.py
+++ b/berylproxy/durable/coordinator.py
@@ -1,4 +1,8 @@
-"""One daemon's part in durable jobs: follows the holders of all groups, becomes one if needed."""
+"""Tracks the holder of each endpoint group, and runs this daemon's own tenures as a holder.
+
+A daemon that finds a holder silent or about to leave claims the group in the store and becomes its
+holder. While the store is unavailable it may become a provisional holder, without a claim.
+"""
 
 from collections import Counter
 from collections.abc import Callable
@@ -18,14 +22,14 @@
     claim_fence,
     is_suspect,
     may_hold_provisionally,
-    may_replace,
+    may_replace_claim,
     provisional_fence,
     rank,
     should_claim,
 )
 from berylproxy.durable.estimates import RunTimeModel
 from berylproxy.durable.fleet import EndpointList
-from berylproxy.durable.groups import choose_group, count_groups, is_settled, list_groups
+from berylproxy.durable.groups import choose_group, count_groups, is_list_stable, list_groups
 from berylproxy.durable.holder import (
     HEARTBEAT_INTERVAL_S,
     Holder,
@@ -67,48 +71,58 @@
 from berylproxy.peers.network import TcpPeerNetwork
 from berylproxy.store.port import StoreError
 
-WATCH_INTERVAL_S = 0.05
+HOLDER_CHECK_INTERVAL_S = 0.05
 HEARTBEAT_PART = "durable"
-CLAIM_PAUSE_S = 0.15  # after a claim that the store did not answer
-DIVISION_PAUSE_S = 0.5  # between two looks at the list, at the very first start
-LIST_INTERVAL_S = 2.0  # so old may the list be that a new holder begins with
-ENTRY_SILENCE_S = 1.0  # two heartbeats between daemons and their delays
-HOLDER_SILENCE_S = 2.0  # a holder that is silent for longer is not asked any more
+CLAIM_RETRY_DELAY_S = 0.15  # after a claim that the store did not answer
+DIVISION_CHECK_INTERVAL_S = 0.5  # between two reads of the endpoint list, before the first start
+STANDBY_REFRESH_INTERVAL_S = 2.0  # maximum age of the endpoint list that a new holder starts with
+ENTRY_DAEMON_TIMEOUT_S = 1.0  # two heartbeats between daemons, and their delays
+HOLDER_TIMEOUT_S = 2.0  # no requests are sent to a holder that has been silent for longer
 
 logger = Logger(__name__)
 
 
 @dataclass(slots=True)
 class KnownHolder:
-    """The newest holder of a group that this daemon has heard of.
+    """The newest holder of a group that is known to this daemon.
 
     :ivar fence: the fence of its tenure; 0 if none is known.
-    :ivar heard_s: monotonic time of its last sign of life, or when waiting for one began.
+    :ivar incarnation: empty if no holder is known, or after a tenure of this daemon has ended.
+    :ivar last_seen_s: monotonic time of its last heartbeat or claim; before the first, the time
+        at which this daemon began to wait for one.
+    :ivar is_leaving: whether it has asked to be replaced.
+    :ivar endpoints: the endpoints that had runs, by its last heartbeat.
+    :ivar changed: set once the holder has changed; a new event then takes its place.
     """
 
     fence: int = 0
     incarnation: str = ""
-    heard_s: float = 0.0
+    last_seen_s: float = 0.0
     is_leaving: bool = False
     endpoints: InheritedEndpoints | None = None
     changed: Event = field(default_factory=Event)
 
-    def change(self, fence: int, incarnation: str, now_s: float) -> None:
-        """Notes another holder and tells those that wait for one."""
-        is_other = (fence, incarnation) != (self.fence, self.incarnation)
-        self.fence, self.incarnation, self.heard_s = fence, incarnation, now_s
-        if is_other:
+    def set_holder(self, fence: int, incarnation: str, now_s: float) -> None:
+        """Records evidence of a holder, and wakes the tasks that wait for a change of holder."""
+        is_different = (fence, incarnation) != (self.fence, self.incarnation)
+        self.fence, self.incarnation, self.last_seen_s = fence, incarnation, now_s
+        if is_different:
             changed, self.changed = self.changed, Event()
             changed.set()
 
 
 class GroupCoordinator:
-    """Follows holders, and serves the groups that this daemon holds.
+    """Tracks the holders of all groups, and holds groups itself.
 
+    :ivar known_holders: the newest known holder by group.
+    :ivar holders: this daemon's own tenures by group.
     :ivar cores: processor share of this VM.
-    :ivar remote_factor: run time of a task away from its data, against near it.
-    :param list_members: failure domains of the daemons that the store lists, by name.
-    :param has_store: tells whether the store answers this daemon.
+    :ivar remote_factor: ratio of a task's run time away from its data to that near its data.
+    :param list_members: returns the failure domains of the daemons that the store lists, by
+        daemon identifier.
+    :param has_store: returns whether the store answers this daemon.
+    :param on_jobs_ended: called with the final states, by job, of durable jobs that were submitted
+        through this daemon.
     """
 
     def __init__(
@@ -120,10 +134,10 @@
         cores: float,
         list_members: Callable[[], dict[str, str]],
         has_store: Callable[[], bool],
-        on_ended: Callable[[dict[str, str]], None],
+        on_jobs_ended: Callable[[dict[str, str]], None],
         telemetry: Telemetry,
     ) -> None:
-        self.known: dict[str, KnownHolder] = {}
+        self.known_holders: dict[str, KnownHolder] = {}
         self.holders: dict[str, Holder] = {}
         self.is_leaving = False
         self._network = network
@@ -134,13 +148,13 @@
         self.remote_factor = DEFAULT_REMOTE_FACTOR
         self._list_members = list_members
         self._has_store = has_store
-        self._list = EndpointList()
-        self._resting_until_s: dict[str, float] = {}
+        self._endpoint_list = EndpointList()
+        self._claim_paused_until_s: dict[str, float] = {}
         self._telemetry = telemetry
         self._context = HolderContext(
             store,
             directory,
-            self._list,
+            self._endpoint_list,
             self.group_of,
             clock,
             telemetry,
@@ -150,92 +164,104 @@
             self._is_entry_alive,
             lambda: self.remote_factor,
         )
-        self._on_ended = on_ended
+        self._on_jobs_ended = on_jobs_ended
         self._models: dict[str, RunTimeModel] = {}
         self._claiming: set[str] = set()
-        self._divisions: dict[str, int] = {}
-        self._fenced_off: dict[str, int] = {}
+        self._group_counts: dict[str, int] = {}
+        self._last_provisional_fences: dict[str, int] = {}
         self._task_group: TaskGroup | None = None
         network.handle_request(JobSubmission, self._answer_submission)
         network.handle_request(AskState, self._answer_state)
         network.handle_request(CancelStored, self._answer_cancel)
         network.handle_request(AskPending, self._answer_pending)
-        network.handle_notice(DropJob, self._take_drop)
-        network.handle_notice(HolderHeartbeat, self._take_heartbeat)
-        network.handle_notice(JobsEnded, lambda _, message: self._on_ended(message.states))
-        network.provide_heartbeat(HEARTBEAT_PART, self._describe)
-        network.depend_on(self._list_entries)
+        network.handle_notice(DropJob, self._handle_drop)
+        network.handle_notice(HolderHeartbeat, self._handle_holder_heartbeat)
+        network.handle_notice(JobsEnded, lambda _, message: self._on_jobs_ended(message.states))
+        network.provide_heartbeat(HEARTBEAT_PART, self._describe_for_heartbeat)
+        network.depend_on(self._list_entry_daemons)
 
     async def run(self) -> None:
-        """Watches over all groups until cancelled."""
+        """Checks the holders of all groups periodically until cancelled."""
         async with create_task_group() as task_group:
             self._task_group = task_group
-            task_group.start_soon(self._keep_prepared)
+            task_group.start_soon(self._refresh_standby_data)
             while True:
-                await sleep(WATCH_INTERVAL_S)
-                for group in list(self.known):
-                    self._watch(group)
+                await sleep(HOLDER_CHECK_INTERVAL_S)
+                for group in list(self.known_holders):
+                    self._check_holder(group)
+
+    async def _refresh_standby_data(self) -> None:
+        """Refreshes the data that a new holder starts with, until cancelled.
 
-    async def _keep_prepared(self) -> None:
-        """Keeps what a new holder begins with: the list of endpoints, and learnt run times."""
+        These are the endpoint list, which holders refresh themselves, and the learnt run times.
+        """
         while True:
             if not self.holders:
                 try:
-                    self._list.update(await self._directory.fetch(), self._clock.now_s())
+                    self._endpoint_list.update(await self._directory.fetch(), self._clock.now_s())
                 except StoreError as error:
-                    logger.debug("the list of endpoints is not available: {}", error.message)
-            for service in list(self._divisions):
-                await self._adopt_models(service)
-            await sleep(LIST_INTERVAL_S)
+                    logger.debug("the endpoint list is unavailable: {}", error.message)
+            for service in list(self._group_counts):
+                await self._load_run_time_models(service)
+            await sleep(STANDBY_REFRESH_INTERVAL_S)
 
-    async def _adopt_models(self, service: str) -> None:
-        """Takes over the run times that the holders of a service have learnt.
+    async def _load_run_time_models(self, service: str) -> None:
+        """Loads the run times that the holders of a service's groups have learnt and stored.
 
-        One cheap read serves for all groups; what a service of a longer name has is passed by.
+        One read of a key prefix, which may be stale and so is cheap, covers all groups. The prefix
+        also matches services whose names begin with this service's name; these are skipped.
         """
         groups = {model_key(group): group for group in self.groups_of(service)}
         try:
             entries, _ = await self._store.list_page(model_key(service), "", may_be_stale=True)
         except StoreError as error:
-            logger.debug("the learnt run times are not available: {}", error.message)
+            logger.debug("the learnt run times are unavailable: {}", error.message)
             return
         for entry in entries:
             group = groups.get(entry.key, "")
             if group and group not in self.holders:
-                self._adopt_model(group, entry.value)
+                self._load_run_time_model(group, entry.value)
 
-    def _adopt_model(self, group: str, value: bytes) -> None:
+    def _load_run_time_model(self, group: str, value: bytes) -> None:
         try:
             adopt_model(self._models.setdefault(group, RunTimeModel()), value)
         except StoredValueError as error:
-            logger.warning("the learnt run times of {} are left alone: {}", group, error.message)
+            logger.warning("ignoring the stored run times of {}: {}", group, error.message)
 
-    async def follow(self, services: set[str]) -> bool:
-        """Takes the services of the configuration; returns whether all their groups are known.
+    async def follow_services(self, services: set[str]) -> bool:
+        """Starts to track the groups of services that are new in the configuration.
 
+        :return: whether the groups of all given services are known; if not, call again later.
         :raises StoreError: if the store does not answer.
         """
-        for service in services - set(self._divisions):
-            count = await self._find_division(service)
+        for service in services - set(self._group_counts):
+            count = await self._read_or_create_division(service)
             if count:
                 for group in list_groups(service, count):
                     await self._follow_group(group)
-                self._divisions[service] = count
-                await self._adopt_models(service)
-        return services <= set(self._divisions)
+                self._group_counts[service] = count
+                await self._load_run_time_models(service)
+        return services <= set(self._group_counts)
 
     def groups_of(self, service: str) -> list[str]:
-        """Lists the groups of a service; empty while they are not known."""
-        count = self._divisions.get(service)
+        """Lists the groups of a service; empty until their number is known."""
+        count = self._group_counts.get(service)
         return list_groups(service, count) if count else []
 
     def group_of(self, service: str, name: str) -> str:
-        """Names the group of an endpoint or a job; empty while that is not known."""
-        count = self._divisions.get(service)
+        """Returns the group of an endpoint or a job of a service; empty until it is known.
+
+        :param name: the endpoint's or the job's identifier.
+        """
+        count = self._group_counts.get(service)
         return choose_group(service, count, name) if count else ""
 
-    async def _find_division(self, service: str) -> int:
-        """Reads into how many groups a service is divided, or divides it; 0 if it is too early."""
+    async def _read_or_create_division(self, service: str) -> int:
+        """Returns the number of groups of a service; stores it if the service is new.
+
+        :return: 0 if the number can't be determined yet: the endpoint list still changes, another
+            daemon has just stored the number, or the stored value is unreadable.
+        """
         key = division_key(service)
         try:
             entry = await self._store.get(key)
@@ -245,40 +271,44 @@
             for _ in range(2):
                 listed = await self._directory.fetch()
                 counts.append(sum(info.service == service for info in listed))
-                await sleep(DIVISION_PAUSE_S)
-            if not is_settled(counts):
+                await sleep(DIVISION_CHECK_INTERVAL_S)
+            if not is_list_stable(counts):
                 return 0
             count = count_groups(counts[0])
             value = encode_division(count)
             await self._store.commit(Transaction(((key, 0),), ((key, value),)))
-            logger.info("{} is divided into {} groups", service, count)
+            logger.info("divided service {} into {} groups", service, count)
             return count
         except TransactionConflictError:
-            return 0  # another daemon was first; its value is read next
+            return 0  # another daemon has stored the number first; the next call reads it
         except StoredValueError as error:
-            logger.error("the division of {} can't be read: {}", service, error.message)
+            logger.error("cannot read the number of groups of {}: {}", service, error.message)
             return 0
 
     async def _follow_group(self, group: str) -> None:
-        known = self.known.setdefault(group, KnownHolder(heard_s=self._clock.now_s()))
+        """Starts to track the holder of a group, at first by its claim in the store."""
+        known = self.known_holders.setdefault(group, KnownHolder(last_seen_s=self._clock.now_s()))
         entry = await self._store.get(claim_key(group))
         if entry is not None and claim_fence(entry.revision) > known.fence:
             claimant = _read_claimant(entry.value)
-            known.change(claim_fence(entry.revision), claimant, known.heard_s)
+            known.set_holder(claim_fence(entry.revision), claimant, known.last_seen_s)
 
     def holder_incarnation(self, group: str) -> str:
-        """Names the incarnation that is believed to hold a group; empty if none is."""
-        known = self.known.get(group)
+        """Returns the incarnation of a group's presumed holder.
+
+        :return: empty if no holder is known or the known one has been silent for too long.
+        """
+        known = self.known_holders.get(group)
         if known is None or not known.incarnation:
             return ""
         is_own = known.incarnation == self.own_incarnation
-        if not is_own and self._silence_s(known) > HOLDER_SILENCE_S:
+        if not is_own and self._silence_s(known) > HOLDER_TIMEOUT_S:
             return ""
         return known.incarnation
 
     def known_fence(self, group: str) -> int:
-        """Returns the fence of the newest holder that is known; 0 if none is."""
-        known = self.known.get(group)
+        """Returns the fence of a group's newest known holder; 0 if none is known."""
+        known = self.known_holders.get(group)
         return known.fence if known is not None else 0
 
     @property
@@ -287,14 +317,14 @@
         return self._network.identity.incarnation
 
     def leave(self) -> None:
-        """Asks the others to take over all groups held here."""
+        """Asks the other daemons to take over all groups that this daemon holds."""
         self.is_leaving = True
         for holder in self.holders.values():
             holder.is_leaving = True
             holder.send_heartbeat()
 
     def live_members(self) -> list[Member]:
-        """Lists the other daemons that this one has streams to."""
+        """Lists the other daemons that are not dead and that this one has open streams to."""
         return [
             member
             for member in self._network.members()
@@ -302,20 +332,28 @@
             and self._network.links(member.identity.incarnation)
         ]
 
-    # Following and claiming
+    # Tracking holders and claiming groups
 
     def _silence_s(self, known: KnownHolder) -> float:
-        return self._clock.now_s() - known.heard_s
+        """Returns the time for which nothing was received from a holder."""
+        return self._clock.now_s() - known.last_seen_s
 
-    def _watch(self, group: str) -> None:
+    def _check_holder(self, group: str) -> None:
+        """Takes a group over if its holder seems to have failed and no better candidate does so.
+
+        Without the store this daemon may become a provisional holder only. Its own provisional
+        tenure ends once the store is available again.
+        """
         if group in self._claiming or self.is_leaving:
             return
-        known = self.known[group]
+        known = self.known_holders[group]
         has_store = self._has_store()
         if group in self.holders:
             if has_store and known.fence % FENCES_PER_CLAIM:
                 known.is_leaving = True
-                self.holders[group].tenure.end("the store is back: a claim takes its place")
+                self.holders[group].tenure.end(
+                    "the store is available again, so a holder needs a claim"
+                )
             return
         observation = HolderObservation(
             self._silence_s(known),
@@ -328,58 +366,63 @@
         candidates = [
             Candidate(
                 m.identity.daemon_id,
-                _read_part(m).get("cores", 0.0),
-                _read_part(m).get("holds", 0),
+                _read_heartbeat_part(m).get("cores", 0.0),
+                _read_heartbeat_part(m).get("holds", 0),
             )
             for m in members
-            if m.ready and (not has_store or _read_part(m).get("has_store", True))
+            if m.ready and (not has_store or _read_heartbeat_part(m).get("has_store", True))
         ]
         own = Candidate(self._network.identity.daemon_id, self.cores, self._count_held())
-        listed = len(set(self._list_members()) - {own.daemon_id, self._holder_name(known)})
+        listed = len(set(self._list_members()) - {own.daemon_id, self._holder_daemon_id(known)})
         own_rank = rank(group, own, candidates)
         if self._task_group is None:
             return
-        if self._clock.now_s() < self._resting_until_s.get(group, 0.0):
+        if self._clock.now_s() < self._claim_paused_until_s.get(group, 0.0):
             return
         if has_store and should_claim(observation, own_rank, len(members), listed):
             self._claiming.add(group)
-            self._task_group.start_soon(self._claim, group, observation)
+            self._task_group.start_soon(self._claim_group, group, observation)
         elif not has_store and should_claim(observation, own_rank, listed, listed):
             self._hold_provisionally(group, known, own_rank)
 
     def _hold_provisionally(self, group: str, known: KnownHolder, own_rank: int) -> None:
-        """Becomes the holder without a claim, for the daemons that are reached."""
+        """Becomes the provisional holder of a group if this daemon reaches enough others.
+
+        Nothing happens if the newest known fence is that of this daemon's own last provisional
+        tenure, which has ended, or if no provisional fence is left.
+        """
         fence = provisional_fence(known.fence, own_rank)
         listed = Counter(self._list_members().values())
         own_domain = self._network.identity.failure_domain
         reached = Counter(m.identity.failure_domain for m in self.live_members())
         reached[own_domain] += 1
-        if not known.fence or not fence or self._fenced_off.get(group) == known.fence:
+        if not known.fence or not fence or self._last_provisional_fences.get(group) == known.fence:
             return
         if not may_hold_provisionally(reached, listed, own_domain):
             return
         logger.warning(
-            "holding {} without a claim: neither store nor holder is heard",
+            "holding {} provisionally, without a claim: no answer from the store or the holder",
             group,
             extra={"group": group, "fence": fence, "former": known.fence, "reached": dict(reached)},
         )
-        self._fenced_off[group] = fence
+        self._last_provisional_fences[group] = fence
         self._claiming.add(group)
         if self._task_group is not None:
-            self._task_group.start_soon(self._hold, group, fence, 0)
+            self._task_group.start_soon(self._hold_group, group, fence, 0)
 
-    def _holder_name(self, known: KnownHolder) -> str:
+    def _holder_daemon_id(self, known: KnownHolder) -> str:
+        """Returns the identifier of a holder's daemon; empty if it is no known member."""
         for member in self._network.members():
             if member.identity.incarnation == known.incarnation:
                 return member.identity.daemon_id
         return ""
 
-    async def _claim(self, group: str, observation: HolderObservation) -> None:
+    async def _claim_group(self, group: str, observation: HolderObservation) -> None:
         try:
             revision = await self._try_claim(group)
         except StoreError as error:
-            logger.info("claim on {} not made: {}", group, error.message)
-            self._resting_until_s[group] = self._clock.now_s() + CLAIM_PAUSE_S
+            logger.info("cannot claim {}: {}", group, error.message)
+            self._claim_paused_until_s[group] = self._clock.now_s() + CLAIM_RETRY_DELAY_S
             return
         finally:
             self._claiming.discard(group)
@@ -396,37 +439,44 @@
                     "holder_leaving": observation.is_leaving,
                 },
             )
-            await self._hold(group, fence, revision)
+            await self._hold_group(group, fence, revision)
 
     async def _try_claim(self, group: str) -> int:
-        """Replaces the claim unless it is newer than the known one; returns its revision or 0."""
-        known = self.known[group]
-        key, seen_fence = claim_key(group), known.fence
+        """Replaces the claim in the store unless it is newer than the known one.
+
+        :return: revision of this daemon's claim; 0 if another daemon's claim stays in force.
+        """
+        known = self.known_holders[group]
+        key, fence_at_decision = claim_key(group), known.fence
         revision = known.fence // FENCES_PER_CLAIM
-        if not known.is_leaving:  # else its own heartbeat has just told the claim
+        if not known.is_leaving:  # a leaving holder's heartbeat has just reported its claim
             entry = await self._store.get(key)
             revision = entry.revision if entry is not None else 0
             if entry is not None and claim_fence(revision) > known.fence:
                 claimant = _read_claimant(entry.value)
-                known.change(claim_fence(revision), claimant, self._clock.now_s())
+                known.set_holder(claim_fence(revision), claimant, self._clock.now_s())
                 known.is_leaving = False
                 if claimant == self.own_incarnation:
-                    return revision  # an earlier try whose answer was lost
-            if not may_replace(seen_fence, known.fence, claim_fence(revision)):
+                    return revision  # an earlier attempt succeeded, but its answer was lost
+            if not may_replace_claim(fence_at_decision, known.fence, claim_fence(revision)):
                 return 0
         identity = self._network.identity
         value = packb({"daemon_id": identity.daemon_id, "incarnation": identity.incarnation})
         try:
             return await self._store.commit(Transaction(((key, revision),), ((key, value),)))
         except TransactionConflictError:
-            known.heard_s = self._clock.now_s()
+            known.last_seen_s = self._clock.now_s()
             known.is_leaving = False
             return 0
 
-    async def _hold(self, group: str, fence: int, claim_revision: int) -> None:
-        known = self.known[group]
+    async def _hold_group(self, group: str, fence: int, claim_revision: int) -> None:
+        """Runs a tenure over a group until it ends.
+
+        :param claim_revision: 0 for a provisional holder.
+        """
+        known = self.known_holders[group]
         inherited = known.endpoints
-        known.change(fence, self.own_incarnation, self._clock.now_s())
+        known.set_holder(fence, self.own_incarnation, self._clock.now_s())
         known.is_leaving = False
         self._claiming.discard(group)
         model = self._models.setdefault(group, RunTimeModel())
@@ -439,12 +489,12 @@
             if known.endpoints is not None and known.endpoints.fence < fence:
                 known.endpoints = None
             if known.incarnation == self.own_incarnation:
-                known.change(known.fence, "", self._clock.now_s())
+                known.set_holder(known.fence, "", self._clock.now_s())
 
-    def describe_groups(self) -> list[tuple[str, str, float, str]]:
-        """Lists gauges of the groups: name, help, value and group."""
+    def list_group_gauges(self) -> list[tuple[str, str, float, str]]:
+        """Lists the gauges of all groups, each as its name, help text, value and group."""
         rows = []
-        for group, known in self.known.items():
+        for group, known in self.known_holders.items():
             rows.append(
                 (
                     "holder_silence_seconds",
@@ -468,13 +518,17 @@
         return [(name, text, float(value), group) for name, text, value, group in rows]
 
     def _is_entry_alive(self, incarnation: str) -> bool:
-        """Tells whether a daemon was heard lately, or is this one."""
+        """Returns whether a daemon has sent a message recently, or is this one."""
         if incarnation == self.own_incarnation:
             return True
-        return self._network.silence_s(incarnation) < ENTRY_SILENCE_S
+        return self._network.silence_s(incarnation) < ENTRY_DAEMON_TIMEOUT_S
 
-    def _list_entries(self) -> set[str]:
-        """Lists the daemons whose jobs are dropped here unless the daemons are heard."""
+    def _list_entry_daemons(self) -> set[str]:
+        """Lists the entry daemons of the best-effort jobs that are held here.
+
+        Their jobs are dropped when nothing is received from them any more, so they must be checked
+        often enough.
+        """
         return {
             job.entry
             for holder in self.holders.values()
@@ -483,20 +537,24 @@
         }
 
     def _has_store_elsewhere(self) -> bool:
-        """Tells whether another daemon may reach the store, as far as is known."""
-        fresh = self.live_members()
-        if 2 * len(fresh) < len(self._list_members()) - 1:
+        """Returns whether another daemon may reach the store, as far as is known here.
+
+        ``True`` also while this daemon reaches less than half of the others.
+        """
+        members = self.live_members()
+        if 2 * len(members) < len(self._list_members()) - 1:
             return True
-        return any(_read_part(m).get("has_store", True) for m in fresh)
+        return any(_read_heartbeat_part(m).get("has_store", True) for m in members)
 
     def _notify(self, incarnation: str, message: Any) -> None:
+        """Sends a message without reply; one to this daemon itself is handled directly."""
         if incarnation == self.own_incarnation:
             if isinstance(message, JobsEnded):
-                self._on_ended(message.states)
+                self._on_jobs_ended(message.states)
         else:
             self._network.notify(incarnation, message)
 
-    def _describe(self) -> dict[str, Any]:
+    def _describe_for_heartbeat(self) -> dict[str, Any]:
         return {
             "cores": self.cores,
             "holds": self._count_held(),
@@ -504,10 +562,11 @@
         }
 
     def _count_held(self) -> int:
+        """Counts the groups that this daemon holds or is about to hold."""
         return len(self.holders.keys() | self._claiming)
 
-    def _take_heartbeat(self, sender: DaemonIdentity, message: HolderHeartbeat) -> None:
-        known = self.known.setdefault(message.group, KnownHolder())
+    def _handle_holder_heartbeat(self, sender: DaemonIdentity, message: HolderHeartbeat) -> None:
+        known = self.known_holders.setdefault(message.group, KnownHolder())
         if message.fence < known.fence:
             return
         if message.fence > known.fence:
@@ -521,20 +580,22 @@
                 sender.daemon_id,
                 extra={"group": message.group, "fence": message.fence, "former": known.fence},
             )
-        known.change(message.fence, sender.incarnation, self._clock.now_s())
+        known.set_holder(message.fence, sender.incarnation, self._clock.now_s())
         known.is_leaving = message.leaving
         known.endpoints = InheritedEndpoints(message.fence, frozenset(message.endpoints))
 
-    # Serving
+    # Serving requests as the holder
 
     def require_holder(self, group: str) -> Holder:
-        """Returns the holder that runs here.
+        """Returns this daemon's own tenure over a group.
 
-        :raises NotHolderError: if there is none.
+        :raises NotHolderError: if this daemon does not hold the group.
         """
         holder = self.holders.get(group)
         if holder is None:
-            raise NotHolderError("not the holder", retry_after_s=HEARTBEAT_INTERVAL_S)
+            raise NotHolderError(
+                "this daemon is not the holder", retry_after_s=HEARTBEAT_INTERVAL_S
+            )
         return holder
 
     async def _answer_submission(
@@ -549,10 +610,10 @@
     async def _answer_cancel(self, _: DaemonIdentity, message: CancelStored) -> StateReply:
         return StateReply(await self.require_holder(message.group).cancel(message.job_id))
 
-    def _take_drop(self, sender: DaemonIdentity, message: DropJob) -> None:
+    def _handle_drop(self, sender: DaemonIdentity, message: DropJob) -> None:
         holder = self.holders.get(message.group)
         if holder is not None:
-            holder.drop(message.job_id, f"its caller at {sender.daemon_id} has gone")
+            holder.drop(message.job_id, f"its caller at {sender.daemon_id} no longer waits")
 
     async def _answer_pending(self, _: DaemonIdentity, message: AskPending) -> PendingReply:
         holder = self.require_holder(message.group)
@@ -561,13 +622,15 @@
         return PendingReply(holder.count_pending(message.queue))
 
 
-def _read_part(member: Member) -> dict[str, Any]:
+def _read_heartbeat_part(member: Member) -> dict[str, Any]:
+    """Returns the part of a member's heartbeats that its coordinator provides."""
     return member.heartbeat.get(HEARTBEAT_PART, {})
 
 
 def _read_claimant(value: bytes) -> str:
+    """Returns the incarnation that a stored claim names; empty if the claim is unreadable."""
     try:
         return str(unpackb(value)["incarnation"])
     except (ValueError, TypeError, KeyError) as error:
-        logger.warning("a claim can't be read: {!r}", error)
+        logger.warning("cannot read a stored claim: {!r}", error)
         return ""
--- a/berylproxy/durable/frontend.py
+++ b/berylproxy/durable/frontend.py
@@ -1,4 +1,4 @@
-"""The entry daemon's side: finds the holder for a caller's request and waits for its answer."""
+"""The entry daemon's side: sends callers' requests to the holders and waits for the answers."""
 
 from collections import OrderedDict
 from collections.abc import Awaitable, Callable
@@ -31,37 +31,37 @@
 from berylproxy.peers.network import TcpPeerNetwork
 from berylproxy.store.port import StoreError, StoreUnavailableError
 
-REMEMBERED_STATES = 20_000
-ASK_TIMEOUT_S = 0.5  # a holder answers in a few ms unless it has just gone silent
-HAND_IN_TIMEOUT_S = 1.0  # a slow store takes some 0.3 s
+MAX_CACHED_STATES = 20_000
+HOLDER_REPLY_TIMEOUT_S = 0.5  # a holder answers within a few ms unless it has just failed
+SUBMIT_TIMEOUT_S = 1.0  # includes a write to the store, for which a slow store takes some 0.3 s
 RETRY_PAUSE_S = 0.03
-LAST_REPLY_S = 0.02  # in which a former holder that lives tells what became of a job
-NO_HOLDER_WAIT_S = 1.0  # a new holder is found in that time unless the store is away
+FORMER_HOLDER_REPLY_WAIT_S = 0.02  # a former holder that is still alive replies within this time
+NO_HOLDER_WAIT_S = 1.0  # a new holder is found within this time unless the store is unavailable
 
 
 logger = Logger(__name__)
 
 
 class NotAcceptedError(BerylproxyError):
-    """The job is not stored and never runs."""
+    """The job was refused: it is not stored and never runs."""
 
     code = "not_accepted"
 
 
 class OverloadedError(NotAcceptedError):
-    """There is more work than the endpoints can do in time."""
+    """The job was refused because the endpoints can't finish all the work in time."""
 
     code = "overloaded"
 
 
-class NotKnownError(BerylproxyError):
-    """The answer can't be given now; asking again is safe."""
+class ResultUnknownError(BerylproxyError):
+    """The result of the request is unknown at present; repeating the request is safe."""
 
     code = "not_known_now"
 
 
 class JobFrontend:
-    """Answers callers' requests about durable jobs."""
+    """Serves callers' requests about jobs by sending them to the holders of the groups."""
 
     def __init__(
         self,
@@ -76,22 +76,26 @@
         self._store = store
         self._clock = clock
         self._telemetry = telemetry
-        self._states: OrderedDict[str, JobState] = OrderedDict()
+        self._cached_states: OrderedDict[str, JobState] = OrderedDict()
         self._pending: dict[str, int] = {}
 
     def record_ended_jobs(self, states: dict[str, str]) -> None:
-        """Keeps the outcomes that holders tell of."""
+        """Caches the final states that holders report for durable jobs.
+
+        :param states: state by job.
+        """
         for job_id, state in states.items():
-            self._remember(job_id, JobState(state))
+            self._cache_state(job_id, JobState(state))
 
     async def run_best_effort(self, spec: JobSpec, wait_s: float) -> JobState:
-        """Has a job carried out that isn't kept; returns how it ended.
+        """Runs a best-effort job and returns its final state.
 
-        It is handed in again to each new holder while the caller waits. When the caller goes away,
-        which cancels this call, or its time is over, the job is dropped.
+        The job is submitted again to each new holder while the caller waits. It is dropped when
+        the caller disconnects, which cancels this call, or when the wait has ended.
 
-        :raises NotAcceptedError: if it has not run and never will.
-        :raises NotKnownError: if it may have run.
+        :param wait_s: how long the caller waits for an answer.
+        :raises NotAcceptedError: if the job has not run and never will.
+        :raises ResultUnknownError: if the job may have run.
         """
         started_s = self._clock.now_s()
         attempt, group, former_fence = 0, "", 0
@@ -104,15 +108,17 @@
                 message = JobSubmission(group, spec, attempt, wait_s - elapsed_s, former_fence)
                 fence = self._coordinator.known_fence(group)
                 try:
-                    reply = await self._ask_while_held(group, message, wait_s - elapsed_s)
+                    reply = await self._submit_until_holder_changes(
+                        group, message, wait_s - elapsed_s
+                    )
                 except PeerUnreachableError:
                     await sleep(RETRY_PAUSE_S)
                     continue
                 except BerylproxyError as error:
                     if error.code == JobGivenUpError.code:
-                        raise NotKnownError(error.message) from error
+                        raise ResultUnknownError(error.message) from error
                     logger.info(
-                        "job handed in again: {}",
+                        "job submitted again: {}",
                         error.message,
                         extra={"job": spec.job_id, "attempt": attempt, "code": error.code},
                     )
@@ -124,38 +130,38 @@
                 if not reply.refusal:
                     return JobState(reply.state)
                 if attempt:
-                    raise NotKnownError("a former holder may have begun it")
-                raise _make_refusal(reply)
+                    raise ResultUnknownError("a former holder may have begun the job")
+                raise _make_refusal_error(reply)
         except get_cancelled_exc_class():
-            self._drop(group, spec.job_id)
+            self._drop_job(group, spec.job_id)
             raise
-        self._drop(group, spec.job_id)
+        self._drop_job(group, spec.job_id)
         self._log_unanswered(spec, started_s, attempt > 0)
         if attempt:
-            raise NotKnownError("it is not known whether the job has run")
+            raise ResultUnknownError("it is not known whether the job has run")
         raise NotAcceptedError("no daemon can carry out the job now", retry_after_s=1.0)
 
     async def submit_durable(self, spec: JobSpec, wait_s: float) -> None:
-        """Has a job stored; returns once it is.
+        """Submits a durable job; returns once the job is stored.
 
         :param wait_s: how long the caller waits for an answer.
-        :raises NotAcceptedError: if it is not stored and never will be.
-        :raises NotKnownError: if it may be stored.
+        :raises NotAcceptedError: if the job is not stored and never will be.
+        :raises ResultUnknownError: if the job may be stored.
         """
         started_s = self._clock.now_s()
         may_be_stored = False
         while True:
             elapsed_s = self._clock.now_s() - started_s
-            left_s = wait_s - elapsed_s
-            if left_s <= 0 or (not may_be_stored and elapsed_s > NO_HOLDER_WAIT_S):
+            remaining_s = wait_s - elapsed_s
+            if remaining_s <= 0 or (not may_be_stored and elapsed_s > NO_HOLDER_WAIT_S):
                 break
             message = JobSubmission(
                 self._coordinator.group_of(spec.terms.service, spec.job_id), spec
             )
             try:
-                reply = await self._ask_to_store(message, min(left_s, HAND_IN_TIMEOUT_S))
+                reply = await self._send_submission(message, min(remaining_s, SUBMIT_TIMEOUT_S))
             except (TenureLostError, PeerUnreachableError, StoreUnavailableError):
-                await sleep(RETRY_PAUSE_S)  # certainly not stored by this try
+                await sleep(RETRY_PAUSE_S)  # this attempt has certainly not stored the job
                 continue
             except BerylproxyError as error:
                 may_be_stored = may_be_stored or error.code not in (
@@ -165,16 +171,18 @@
                 await sleep(RETRY_PAUSE_S)
                 continue
             if reply.refusal:
-                raise _make_refusal(reply)
-            self._remember(spec.job_id, JobState.QUEUED)
+                raise _make_refusal_error(reply)
+            self._cache_state(spec.job_id, JobState.QUEUED)
             return
         self._log_unanswered(spec, started_s, may_be_stored)
         if may_be_stored:
-            raise NotKnownError("it is not known whether the job is stored")
+            raise ResultUnknownError("it is not known whether the job is stored")
         raise NotAcceptedError("no daemon can store the job now", retry_after_s=1.0)
 
-    async def _ask_to_store(self, message: JobSubmission, timeout_s: float) -> JobSubmissionReply:
-        return await self._ask(
+    async def _send_submission(
+        self, message: JobSubmission, timeout_s: float
+    ) -> JobSubmissionReply:
+        return await self._call_holder(
             message.group,
             message,
             lambda holder: holder.submit(message, self._coordinator.own_incarnation),
@@ -182,9 +190,10 @@
         )
 
     def _log_unanswered(self, spec: JobSpec, started_s: float, may_have_arrived: bool) -> None:
+        """Logs that a submission is abandoned because no holder replied in time."""
         group = self._coordinator.group_of(spec.terms.service, spec.job_id)
         logger.info(
-            "job given up: no holder answered in time",
+            "job abandoned: no holder answered in time",
             extra={
                 "job": spec.job_id,
                 "group": group,
@@ -194,31 +203,32 @@
             },
         )
 
-    def _drop(self, group: str, job_id: str) -> None:
+    def _drop_job(self, group: str, job_id: str) -> None:
+        """Notifies the holder that nobody waits for a best-effort job any more."""
         incarnation = self._coordinator.holder_incarnation(group)
         if incarnation == self._coordinator.own_incarnation:
             holder = self._coordinator.holders.get(group)
             if holder is not None:
-                holder.drop(job_id, "its caller here has gone")
+                holder.drop(job_id, "its caller at this daemon no longer waits")
         elif incarnation:
             self._network.notify(incarnation, DropJob(group, job_id))
 
-    async def _ask_while_held(
+    async def _submit_until_holder_changes(
         self, group: str, message: JobSubmission, timeout_s: float
     ) -> JobSubmissionReply:
-        """Asks the holder and waits for its answer for as long as it is the holder.
+        """Submits a job to the holder and waits for its reply while the holder stays the same.
 
-        :raises PeerUnreachableError: if the message certainly did not reach a holder.
-        :raises BerylproxyError: if it may have.
+        :raises PeerUnreachableError: if the message has certainly not reached a holder.
+        :raises BerylproxyError: if the message may have reached a holder.
         """
-        known = self._coordinator.known.get(group)
+        known = self._coordinator.known_holders.get(group)
         if known is None:
             raise PeerUnreachableError(f"no holder of {group} is known")
         changed, replies, errors = known.changed, [], []
 
-        async def ask() -> None:
+        async def submit() -> None:
             try:
-                reply = await self._ask(
+                reply = await self._call_holder(
                     group,
                     message,
                     lambda holder: holder.submit(message, self._coordinator.own_incarnation),
@@ -230,73 +240,79 @@
             task_group.cancel_scope.cancel()
 
         async with create_task_group() as task_group:
-            task_group.start_soon(ask)
+            task_group.start_soon(submit)
             await changed.wait()
-            await sleep(LAST_REPLY_S)
+            await sleep(FORMER_HOLDER_REPLY_WAIT_S)
             task_group.cancel_scope.cancel()
         if replies:
             return replies[0]
         if errors and errors[0].code == NotHolderError.code:
-            raise PeerUnreachableError("the daemon asked is not the holder") from errors[0]
-        raise errors[0] if errors else NotKnownError("another daemon has become the holder")
+            raise PeerUnreachableError("the receiving daemon is not the holder") from errors[0]
+        raise errors[0] if errors else ResultUnknownError("another daemon has become the holder")
 
     async def find_state(self, services: list[str], job_id: str, wait_s: float) -> JobState | None:
-        """Finds a job's state; ``None`` if there is no such job.
+        """Returns a job's state; ``None`` if there is no such job.
 
-        :param services: whose groups may have it, the likeliest first.
-        :raises NotKnownError: if that can't be found out now.
+        :param services: services that may have the job, the likeliest first.
+        :raises ResultUnknownError: if the state can't be determined at present.
         """
-        remembered = self._states.get(job_id)
-        if remembered is not None and remembered in _FINAL:
-            return remembered
+        cached_state = self._cached_states.get(job_id)
+        if cached_state is not None and cached_state in _FINAL_STATES:
+            return cached_state
         message = AskState("", job_id)
         groups = self._groups_of(services, job_id)
         try:
-            return await self._find(groups, message, "find_state", wait_s)
-        except NotKnownError:
-            if remembered is not None:
-                return remembered
-            return await self._read_state(groups, job_id)
+            return await self._query_groups(groups, message, "find_state", wait_s)
+        except ResultUnknownError:
+            if cached_state is not None:
+                return cached_state
+            return await self._read_state_from_store(groups, job_id)
 
     def _groups_of(self, services: list[str], job_id: str) -> list[str]:
+        """Lists the group that the job would belong to in each service."""
         groups = [self._coordinator.group_of(service, job_id) for service in services]
         if not all(groups):
-            raise NotKnownError("the groups of a service are not known yet")
+            raise ResultUnknownError("the groups of a service are not known yet")
         return groups
 
     async def cancel(self, services: list[str], job_id: str, wait_s: float) -> JobState | None:
-        """Cancels a job and waits until that is stored; ``None`` if there is no such job.
+        """Cancels a job and returns its stored state; ``None`` if there is no such job.
 
-        :param services: whose groups may have it, the likeliest first.
-        :raises NotKnownError: if it may not be stored.
+        :param services: services that may have the job, the likeliest first.
+        :raises ResultUnknownError: if the cancellation may not be stored.
         """
         groups = self._groups_of(services, job_id)
-        return await self._find(groups, CancelStored("", job_id), "cancel", wait_s)
+        return await self._query_groups(groups, CancelStored("", job_id), "cancel", wait_s)
 
     async def count_pending(self, service: str, queue: str, wait_s: float) -> int:
-        """Counts a queue's jobs of which no task has begun, over all groups of its service.
+        """Counts a queue's jobs of which no task has started, over all groups of its service.
 
-        :raises NotKnownError: if that can't be found out now.
+        :raises ResultUnknownError: if the number can't be determined at present.
         """
         groups = self._coordinator.groups_of(service)
         if not groups:
-            raise NotKnownError("the groups of a service are not known yet")
-        return sum([await self._count_in(group, queue, wait_s) for group in groups])
+            raise ResultUnknownError("the groups of a service are not known yet")
+        return sum([await self._count_pending_in(group, queue, wait_s) for group in groups])
 
-    async def _count_in(self, group: str, queue: str, wait_s: float) -> int:
+    async def _count_pending_in(self, group: str, queue: str, wait_s: float) -> int:
         started_s = self._clock.now_s()
         while self._clock.now_s() - started_s < min(wait_s, NO_HOLDER_WAIT_S):
             try:
-                reply = await self._ask(
-                    group, AskPending(group, queue), self._count_here(queue), ASK_TIMEOUT_S
+                reply = await self._call_holder(
+                    group,
+                    AskPending(group, queue),
+                    self._make_count_call(queue),
+                    HOLDER_REPLY_TIMEOUT_S,
                 )
                 return reply.pending
             except BerylproxyError as error:
-                logger.debug("pending jobs not counted: {}", error.message)
+                logger.debug("cannot count the pending jobs: {}", error.message)
                 await sleep(RETRY_PAUSE_S)
-        raise NotKnownError("no holder answers")
+        raise ResultUnknownError("no holder answers")
+
+    def _make_count_call(self, queue: str) -> Callable[[Any], Awaitable[PendingReply]]:
+        """Returns the call that counts pending jobs if this daemon is the holder itself."""
 
-    def _count_here(self, queue: str) -> Callable[[Any], Awaitable[PendingReply]]:
         async def count(holder: Any) -> PendingReply:
             if not holder.is_loaded:
                 raise TenureLostError("the open jobs are not loaded yet")
@@ -304,43 +320,57 @@
 
         return count
 
-    async def _find(
+    async def _query_groups(
         self, groups: list[str], message: Any, method: str, wait_s: float
     ) -> JobState | None:
+        """Sends a request about a job to the holders of groups until one has the job.
+
+        :param method: name of the :class:`~berylproxy.durable.holder.Holder` method that serves
+            the request where this daemon is the holder itself.
+        :return: the job's state; ``None`` if no group has the job.
+        :raises ResultUnknownError: if a holder did not answer and no other has the job.
+        """
         started_s = self._clock.now_s()
         limit_s = min(wait_s, NO_HOLDER_WAIT_S)
-        missing = set(groups)
-        while missing and self._clock.now_s() - started_s < limit_s:
-            for group in list(missing):
-                state = await self._find_in(group, message, method)
+        unanswered = set(groups)
+        while unanswered and self._clock.now_s() - started_s < limit_s:
+            for group in list(unanswered):
+                state = await self._query_group(group, message, method)
                 if state is None:
                     continue
-                missing.discard(group)
+                unanswered.discard(group)
                 if state:
-                    self._remember(message.job_id, JobState(state))
+                    self._cache_state(message.job_id, JobState(state))
                     return JobState(state)
-            if missing:
+            if unanswered:
                 await sleep(RETRY_PAUSE_S)
-        if missing:
-            raise NotKnownError("no holder answers")
+        if unanswered:
+            raise ResultUnknownError("no holder answers")
         return None
 
-    async def _find_in(self, group: str, message: Any, method: str) -> str | None:
-        """Asks one holder; ``None`` without an answer, empty if it doesn't know the job."""
+    async def _query_group(self, group: str, message: Any, method: str) -> str | None:
+        """Sends a request about a job to one holder.
+
+        :return: the job's state, empty if there is no such job; ``None`` without an answer.
+        """
 
         async def call(holder: Any) -> StateReply:
             return StateReply(await getattr(holder, method)(message.job_id))
 
         addressed = type(message)(group, message.job_id)
         try:
-            reply = await self._ask(group, addressed, call, ASK_TIMEOUT_S)
+            reply = await self._call_holder(group, addressed, call, HOLDER_REPLY_TIMEOUT_S)
         except BerylproxyError as error:
-            logger.debug("state of {} not found: {}", message.job_id, error.message)
+            logger.debug("no answer about job {}: {}", message.job_id, error.message)
             return None
         return reply.state
 
-    async def _read_state(self, groups: list[str], job_id: str) -> JobState | None:
-        """Reads what the store tells of a job while its holder is away."""
+    async def _read_state_from_store(self, groups: list[str], job_id: str) -> JobState | None:
+        """Reads a job's state from the store, for use while its holder is unavailable.
+
+        :raises ResultUnknownError: if the store is unavailable too or has no such job, which the
+            holder might know nevertheless.
+        """
         try:
             entry = await self._store.get(final_key(job_id))
             if entry is not None:
@@ -349,33 +379,41 @@
                 if await self._store.get(open_key(group, job_id)) is not None:
                     return JobState.QUEUED
         except StoreError as error:
-            raise NotKnownError(f"neither holder nor store answers: {error.message}") from error
-        raise NotKnownError("no holder answers")
+            raise ResultUnknownError(
+                f"neither holder nor store answers: {error.message}"
+            ) from error
+        raise ResultUnknownError("no holder answers")
 
-    async def _ask(
+    async def _call_holder(
         self, group: str, message: Any, call: Callable[[Any], Awaitable[Any]], timeout_s: float
     ) -> Any:
-        """Asks the holder of a group, here or at another daemon."""
+        """Sends a request to the holder of a group and returns its reply.
+
+        :param call: serves the request if this daemon is the holder itself.
+        :raises PeerUnreachableError: if no holder is known or reached.
+        :raises BerylproxyError: if the holder reports an error or does not answer in time.
+        """
         incarnation = self._coordinator.holder_incarnation(group)
         if incarnation == self._coordinator.own_incarnation:
             try:
                 with fail_after(timeout_s):
                     return await call(self._coordinator.require_holder(group))
             except TimeoutError as error:
-                raise NotKnownError(f"no answer in {timeout_s} s") from error
+                raise ResultUnknownError(f"no answer in {timeout_s} s") from error
         if not incarnation:
             raise PeerUnreachableError(f"no holder of {group} is known")
         return await self._network.request(incarnation, message, timeout_s)
 
-    def _remember(self, job_id: str, state: JobState) -> None:
-        self._states[job_id] = state
-        while len(self._states) > REMEMBERED_STATES:
-            self._states.popitem(last=False)
+    def _cache_state(self, job_id: str, state: JobState) -> None:
+        """Caches a job's last known state; the oldest entries go first."""
+        self._cached_states[job_id] = state
+        while len(self._cached_states) > MAX_CACHED_STATES:
+            self._cached_states.popitem(last=False)
 
 
-def _make_refusal(reply: JobSubmissionReply) -> NotAcceptedError:
+def _make_refusal_error(reply: JobSubmissionReply) -> NotAcceptedError:
     error_type = OverloadedError if reply.refusal == TOO_LATE else NotAcceptedError
     return error_type(reply.refusal, retry_after_s=reply.retry_after_s)
 
 
-_FINAL = frozenset({JobState.COMPLETED, JobState.FAILED, JobState.CANCELLED})
+_FINAL_STATES = frozenset({JobState.COMPLETED, JobState.FAILED, JobState.CANCELLED})
--- a/berylproxy/durable/holder.py
+++ b/berylproxy/durable/holder.py
@@ -23,8 +23,8 @@
 from berylproxy.durable.job_log import JobLog
 from berylproxy.durable.job_table import Job, JobTable
 from berylproxy.durable.ledger import (
-    AlreadyThereError,
     Change,
+    KeyExistsError,
     Ledger,
     NotHolderError,
     TenureLostError,
@@ -228,7 +228,7 @@
                     await self._load_jobs()
         finally:
             self.tenure.task_group = None
-            self._outcomes.abandon()
+            self._outcomes.release_waiters()
             self._best_effort_jobs.abandon()
             await self.group.close()
 
@@ -320,8 +320,8 @@
             written=((open_key(self.tenure.group, spec.job_id), encode_job(stored)),),
         )
         try:
-            await self._ledger.make(change)
-        except AlreadyThereError:
+            await self._ledger.apply(change)
+        except KeyExistsError:
             return JobSubmissionReply()
         except StoreUnavailableError as error:
             if is_uncertain:
@@ -389,7 +389,7 @@
             logger.info("job cancelled by its caller", extra=self.tenure.extra(job=job_id))
             self.job_table.cancel(job)
             self._finish(job)
-        await self._outcomes.wait(job_id)
+        await self._outcomes.wait_until_stored(job_id)
         if self.tenure.is_over or job_id in self.job_table.jobs:
             raise TenureLostError("not the holder any more")
         return job.state.value
@@ -451,7 +451,7 @@
         self._log.note_ended(job)
         if job.entry and job.state is not JobState.CANCELLED:
             self._context.notify(job.entry, JobsEnded({job_id: job.state.value}))
-        self._outcomes.begin(job)
+        self._outcomes.start_storing(job)
 
     def drop(self, job_id: str, reason: str) -> None:
         """Gives a job up that isn't kept: nobody waits for it."""
@@ -513,7 +513,7 @@
             await sleep(MODEL_INTERVAL_S)
             written = ((model_key(self.tenure.group), encode_model(self._model)),)
             try:
-                await self._ledger.make(Change(written=written))
+                await self._ledger.apply(Change(written=written))
             except TenureLostError:
                 self.tenure.end("the claim is another daemon's")
             except StoreError as error:
--- a/berylproxy/durable/ledger.py
+++ b/berylproxy/durable/ledger.py
@@ -1,4 +1,4 @@
-"""Writes jobs to the store, many with one transaction, each only while the claim stands."""
+"""Commits a holder's changes to the store in batches, on condition that its claim is in force."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, field
@@ -13,37 +13,41 @@
 from berylproxy.store.port import StoreError, StoreOutcomeUnknownError, StoreUnavailableError
 
 CONCURRENT_COMMITS = 6  # keeps a slow store busy; at 4 ms a commit one is nearly enough
-FIRST_HEDGE_S = 0.06  # some ten times the store's usual answer
-HEDGE_FACTOR = 4.0  # of the usual answer time, so that a slow store is not asked twice as a rule
+FIRST_HEDGE_S = 0.06  # lower bound of the hedging delay, some ten times the store's usual latency
+HEDGE_FACTOR = 4.0  # of the average latency, so that a slow store rarely gets second copies
 LATENCY_LEARNING_RATE = 0.2
-MAX_ATTEMPTS = 6  # copies of one transaction under way or lost
+MAX_COPIES = 6  # of one transaction, in flight or lost
 
 logger = Logger(__name__)
 
 
 class TenureLostError(BerylproxyError):
-    """Another daemon has become the holder."""
+    """The tenure has ended, usually because another daemon has become the holder."""
 
     code = "tenure_lost"
 
 
 class NotHolderError(TenureLostError):
-    """This daemon is not the holder: the request has had no effect."""
+    """This daemon is not the holder; the request has had no effect."""
 
     code = "not_holder"
 
 
-class AlreadyThereError(BerylproxyError):
-    """A key that must not exist is there."""
+class KeyExistsError(BerylproxyError):
+    """A key that must be absent for a change exists in the store."""
 
     code = "already_there"
 
 
 @dataclass(slots=True, eq=False)
 class Change:
-    """One job's part of a transaction.
+    """Writes and removals that belong together, as a part of a batch's transaction.
 
-    :param absent: keys that must not exist.
+    :param absent: keys that must not exist for the change to be made.
+    :param written: pairs of key and value.
+    :param removed: keys to remove.
+    :ivar done: set once the change is committed or has failed.
+    :ivar error: the reason of a failure; ``None`` if the change is committed.
     """
 
     absent: tuple[str, ...] = ()
@@ -54,22 +58,26 @@
 
     @property
     def size(self) -> int:
-        """Number of entries that it takes."""
+        """Number of entries that the change takes in a transaction."""
         return len(self.absent) + len(self.written) + len(self.removed)
 
-    def settle(self, error: BerylproxyError | None = None) -> None:
-        """Ends the wait for it."""
+    def complete(self, error: BerylproxyError | None = None) -> None:
+        """Marks the change as committed, or as failed with an error."""
         self.error = error
         self.done.set()
 
 
 class Ledger:
-    """Commits changes under a claim, in batches while earlier ones are on their way.
+    """Commits the changes of one tenure to the store, conditional on the holder's claim.
 
-    Every change can be made twice with the same effect, so that a lost answer is asked for again.
+    Every transaction expects the claim's revision, so that nothing is written once another daemon
+    has replaced the claim. While some transactions are in flight, further changes queue up and are
+    committed together. Changes are idempotent: a transaction whose answer is late or lost is sent
+    again as a copy.
 
-    :param claim: key and revision of the claim that every transaction expects.
-    :param on_confirmed: called with the time from which the claim was certainly in force.
+    :param claim: key and revision of the claim.
+    :param on_confirmed: called after each commit with a monotonic time, before the commit, at which
+        the claim was certainly still in force.
     """
 
     def __init__(
@@ -79,48 +87,49 @@
         self._claim = claim
         self._on_confirmed = on_confirmed
         self._queue: list[Change] = []
-        self._running = 0
+        self._in_flight = 0
         self._wakeup = Event()
         self._latency_s = 0.0
-        self._open: set[Change] = set()
-        self._is_over = False
+        self._unfinished: set[Change] = set()
+        self._has_ended = False
 
     async def run(self) -> None:
-        """Commits until cancelled."""
+        """Commits queued changes until cancelled; then fails those that are unfinished."""
         try:
             async with create_task_group() as task_group:
                 while True:
                     await self._wakeup.wait()
                     self._wakeup = Event()
-                    while self._queue and self._running < CONCURRENT_COMMITS:
-                        self._running += 1
-                        task_group.start_soon(self._commit, self._take_batch())
+                    while self._queue and self._in_flight < CONCURRENT_COMMITS:
+                        self._in_flight += 1
+                        task_group.start_soon(self._commit, self._pop_batch())
         finally:
-            self._is_over = True
-            for change in list(self._open):
-                change.settle(TenureLostError("the tenure has ended"))
+            self._has_ended = True
+            for change in list(self._unfinished):
+                change.complete(TenureLostError("the tenure has ended"))
 
-    async def make(self, change: Change) -> None:
-        """Makes a change.
+    async def apply(self, change: Change) -> None:
+        """Queues a change and returns once it is committed.
 
-        :raises AlreadyThereError: if one of its absent keys exists.
-        :raises StoreUnavailableError: if it was certainly not made.
-        :raises StoreOutcomeUnknownError: if that is not known.
-        :raises TenureLostError: if the claim is not in force any more.
+        :raises KeyExistsError: if one of the keys that must be absent exists.
+        :raises StoreUnavailableError: if the change was certainly not committed.
+        :raises StoreOutcomeUnknownError: if the change may have been committed.
+        :raises TenureLostError: if the claim is no longer in force or the tenure has ended.
         """
-        if self._is_over:
+        if self._has_ended:
             raise TenureLostError("the tenure has ended")
-        self._open.add(change)
+        self._unfinished.add(change)
         self._queue.append(change)
         self._wakeup.set()
         try:
             await change.done.wait()
         finally:
-            self._open.discard(change)
+            self._unfinished.discard(change)
         if change.error is not None:
             raise change.error
 
-    def _take_batch(self) -> list[Change]:
+    def _pop_batch(self) -> list[Change]:
+        """Removes as many changes from the queue as fit into one transaction."""
         batch, size = [], 1  # the claim
         while self._queue and size + self._queue[0].size <= self._store.max_entries:
             change = self._queue.pop(0)
@@ -132,29 +141,30 @@
         try:
             await self._commit_batch(batch)
         finally:
-            self._running -= 1
+            self._in_flight -= 1
             self._wakeup.set()
 
     async def _commit_batch(self, batch: list[Change]) -> None:
+        """Commits a batch; repeats that without the changes that caused a conflict."""
         while batch:
             started_s = monotonic()
             try:
-                await self._commit_hedged(self._join(batch))
+                await self._commit_hedged(self._make_transaction(batch))
             except TransactionConflictError as conflict:
-                batch = self._drop_conflicting(batch, conflict)
+                batch = self._reject_conflicting(batch, conflict)
                 continue
             except StoreError as error:
                 for change in batch:
-                    change.settle(error)
+                    change.complete(error)
                 return
             took_s = monotonic() - started_s
             self._latency_s += LATENCY_LEARNING_RATE * (took_s - self._latency_s)
             self._on_confirmed(started_s)
             for change in batch:
-                change.settle()
+                change.complete()
             return
 
-    def _join(self, batch: list[Change]) -> Transaction:
+    def _make_transaction(self, batch: list[Change]) -> Transaction:
         absent = [(key, 0) for change in batch for key in change.absent]
         return Transaction(
             (self._claim, *absent),
@@ -162,93 +172,102 @@
             tuple(key for change in batch for key in change.removed),
         )
 
-    def _drop_conflicting(
+    def _reject_conflicting(
         self, batch: list[Change], conflict: TransactionConflictError
     ) -> list[Change]:
+        """Fails the changes that caused a conflict and returns the others, to be committed again.
+
+        All changes fail if the claim has been replaced.
+        """
         claim_key, claim_revision = self._claim
         if conflict.revisions.get(claim_key, claim_revision) != claim_revision:
             error = TenureLostError("another daemon holds the claim")
             for change in batch:
-                change.settle(error)
+                change.complete(error)
             return []
-        left = []
+        remaining = []
         for change in batch:
             if any(conflict.revisions.get(key) for key in change.absent):
-                change.settle(AlreadyThereError("it is stored already"))
+                change.complete(KeyExistsError("a key that must be absent exists"))
             else:
-                left.append(change)
-        if len(left) == len(batch):
+                remaining.append(change)
+        if len(remaining) == len(batch):
             for change in batch:
-                change.settle(StoreUnavailableError("a conflict without a conflicting key"))
+                change.complete(
+                    StoreUnavailableError("the store reports a conflict but no conflicting key")
+                )
             return []
-        return left
+        return remaining
 
     async def _commit_hedged(self, transaction: Transaction) -> None:
-        """Sends copies of a transaction until one is answered."""
-        race = _Race(lambda: self._store.commit(transaction))
+        """Commits a transaction, and sends further copies while no answer arrives in time."""
+        hedged_call = _HedgedCall(lambda: self._store.commit(transaction))
         hedge_s = max(FIRST_HEDGE_S, HEDGE_FACTOR * self._latency_s)
         async with create_task_group() as task_group:
-            for _ in range(MAX_ATTEMPTS):
-                race.start(task_group)
+            for _ in range(MAX_COPIES):
+                hedged_call.start(task_group)
                 with move_on_after(hedge_s):
-                    await race.won.wait()
-                if race.won.is_set() or race.is_surely_refused:
+                    await hedged_call.answered.wait()
+                if hedged_call.answered.is_set() or hedged_call.has_certainly_failed:
                     break
             else:
-                await race.wait_all()
+                await hedged_call.wait_for_any_answer()
             task_group.cancel_scope.cancel()
-        race.conclude()
+        hedged_call.raise_for_error()
 
 
-class _Race:
-    """Copies of one call, of which the first answer counts."""
+class _HedgedCall:
+    """A call of which several copies may be in flight; the first answer counts.
+
+    :ivar answered: set once a copy has succeeded or found a conflict.
+    """
 
     def __init__(self, call: Callable[[], Awaitable[int]]) -> None:
         self._call = call
         self._error: StoreError | TransactionConflictError | None = None
-        self._running = 0
-        self._ended = Event()
-        self.won = Event()
-        self._is_unknown = False
+        self._in_flight = 0
+        self._copy_ended = Event()
+        self.answered = Event()
+        self._may_be_applied = False
 
     @property
-    def is_surely_refused(self) -> bool:
-        """Whether no copy can have taken effect."""
-        return not self._running and not self._is_unknown and not self.won.is_set()
+    def has_certainly_failed(self) -> bool:
+        """Whether all copies have ended and none can have taken effect."""
+        return not self._in_flight and not self._may_be_applied and not self.answered.is_set()
 
     def start(self, task_group: TaskGroup) -> None:
         """Sends another copy."""
-        self._running += 1
+        self._in_flight += 1
         task_group.start_soon(self._run)
 
-    async def wait_all(self) -> None:
-        """Waits for an answer or the failure of all copies."""
-        while self._running and not self.won.is_set():
-            await self._ended.wait()
+    async def wait_for_any_answer(self) -> None:
+        """Waits until a copy is answered or all have failed."""
+        while self._in_flight and not self.answered.is_set():
+            await self._copy_ended.wait()
 
-    def conclude(self) -> None:
-        """Raises what the call ended with, if it did not succeed."""
+    def raise_for_error(self) -> None:
+        """Raises the error that the call ended with, if any."""
         if self._error is not None:
             raise self._error
-        if not self.won.is_set():
-            if self.is_surely_refused:
+        if not self.answered.is_set():
+            if self.has_certainly_failed:
                 raise StoreUnavailableError("the store refused the call")
             raise StoreOutcomeUnknownError("no copy of the transaction was answered")
 
     async def _run(self) -> None:
-        was_unknown, self._is_unknown = self._is_unknown, True  # so it is if cancelled
+        was_possible, self._may_be_applied = self._may_be_applied, True  # also if cancelled
         try:
             await self._call()
-            self.won.set()
+            self.answered.set()
         except TransactionConflictError as error:
-            if not self.won.is_set():
+            if not self.answered.is_set():
                 self._error = error
-            self.won.set()
+            self.answered.set()
         except StoreUnavailableError:
-            self._is_unknown = was_unknown
+            self._may_be_applied = was_possible
         except StoreError as error:
-            logger.debug("a transaction was not answered: {}", error.message)
+            logger.debug("no answer to a copy of a transaction: {}", error.message)
         finally:
-            self._running -= 1
-            self._ended.set()
-            self._ended = Event()
+            self._in_flight -= 1
+            self._copy_ended.set()
+            self._copy_ended = Event()
--- a/berylproxy/durable/messages.py
+++ b/berylproxy/durable/messages.py
@@ -1,4 +1,7 @@
-"""What daemons tell each other about durable jobs."""
+"""Messages between daemons about jobs and the holders of groups.
+
+Class names (or ``WIRE_NAME``) and field names are part of the wire format.
+"""
 
 from dataclasses import dataclass
 from typing import ClassVar
@@ -8,12 +11,14 @@
 
 @dataclass(frozen=True, slots=True)
 class JobSubmission:
-    """Asks the holder to carry out a job: to store it first, or to answer when it has ended.
+    """Submits a job to the holder.
+
+    The holder replies once it has stored a durable job, or once a best-effort job has ended.
 
     :param group: the endpoint group that the job belongs to.
-    :param attempt: how many holders it may have reached before.
-    :param wait_s: how long the caller waits for the answer.
-    :param former_fence: of the holder that it reached last; 0 for none.
+    :param attempt: number of former holders that the submission may have reached.
+    :param wait_s: how long the caller waits for the reply to a best-effort job.
+    :param former_fence: the highest fence of these former holders; 0 for none.
     """
 
     WIRE_NAME: ClassVar[str] = "HandIn"
@@ -27,11 +32,11 @@
 
 @dataclass(frozen=True, slots=True)
 class JobSubmissionReply:
-    """What the holder made of it.
+    """The holder's reply to a submission.
 
-    :param refusal: empty if the job was taken; else why it was not and never will be.
-    :param retry_after_s: when it is useful to come back.
-    :param state: how a job that is not kept has ended.
+    :param refusal: empty if the job was accepted; otherwise the reason for which it never runs.
+    :param retry_after_s: time after which a refused caller may retry.
+    :param state: final state of a best-effort job; empty for a durable one.
     """
 
     WIRE_NAME: ClassVar[str] = "HandInReply"
@@ -43,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DropJob:
-    """Tells the holder that nobody waits for a job any more."""
+    """Notifies the holder that nobody waits for a best-effort job any more."""
 
     group: str
     job_id: str
@@ -59,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelStored:
-    """Asks the holder to cancel a job."""
+    """Asks the holder to cancel a job and to reply once the cancellation is stored."""
 
     group: str
     job_id: str
@@ -67,14 +72,17 @@
 
 @dataclass(frozen=True, slots=True)
 class StateReply:
-    """A job's state; empty if there is no such job."""
+    """The reply to :class:`AskState` and :class:`CancelStored`.
+
+    :param state: the job's state; empty if there is no such job.
+    """
 
     state: str
 
 
 @dataclass(frozen=True, slots=True)
 class AskPending:
-    """Asks how many jobs of a queue have no task started."""
+    """Asks the holder how many jobs of a queue have no task started."""
 
     group: str
     queue: str
@@ -82,17 +90,20 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingReply:
-    """The number of such jobs."""
+    """The reply to :class:`AskPending`.
+
+    :param pending: number of the queue's jobs of which no task has started.
+    """
 
     pending: int
 
 
 @dataclass(frozen=True, slots=True)
 class HolderHeartbeat:
-    """Tells that the sender is the holder of a group.
+    """Announces the sender as the holder of a group.
 
-    :param fence: the fence of its tenure; the highest counts.
-    :param endpoints: identifiers of the endpoints that it has given work.
+    :param fence: the fence of its tenure; receivers ignore heartbeats with a lower one than known.
+    :param endpoints: identifiers of the endpoints that may have runs.
     :param leaving: whether another daemon should take over at once.
     """
 
@@ -104,7 +115,10 @@
 
 @dataclass(frozen=True, slots=True)
 class JobsEnded:
-    """Tells the daemon that handed jobs in how they ended."""
+    """Notifies the entry daemon of durable jobs of their final states.
+
+    :param states: state by job.
+    """
 
     states: dict[str, str]
 
--- a/berylproxy/durable/records.py
+++ b/berylproxy/durable/records.py
@@ -17,34 +17,37 @@
 MODEL_PREFIX = ROOT + "run-times/"
 DIVISION_PREFIX = ROOT + "divisions/"
 SCHEMA_VERSION = 1
-FINAL_RETENTION_S = 300.0  # states may be asked for up to 120 s after the end
+FINAL_RETENTION_S = 300.0  # callers may request the state of a job up to 120 s after its end
 
 _stored_job = TypeAdapter(StoredJob)
 
 
 class StoredValueError(BerylproxyError):
-    """A value in the store can't be read."""
+    """A value in the store can't be decoded."""
 
     code = "stored_value_unreadable"
 
 
 def open_prefix(group: str) -> str:
-    """Prefix of the unfinished jobs of an endpoint group."""
+    """Returns the key prefix of an endpoint group's unfinished jobs."""
     return f"{OPEN_PREFIX}{group}/"
 
 
 def open_key(group: str, job_id: str) -> str:
-    """Key of an unfinished job."""
+    """Returns the key of an unfinished job."""
     return open_prefix(group) + job_id
 
 
 def final_key(job_id: str) -> str:
-    """Key of a finished job's state."""
+    """Returns the key of a finished job's state."""
     return FINAL_PREFIX + job_id
 
 
 def claim_key(group: str) -> str:
-    """Key that names the holder of an endpoint group; its revision is the fence."""
+    """Returns the key of an endpoint group's claim, which names its holder.
+
+    The fence of the holder derives from the revision of this key.
+    """
     return CLAIM_PREFIX + group
 
 
@@ -56,7 +59,7 @@
 def decode_job(value: bytes) -> StoredJob:
     """Decodes an unfinished job.
 
-    :raises StoredValueError: if the value is not one.
+    :raises StoredValueError: if the value is not an encoded job.
     """
     try:
         fields = unpackb(value)
@@ -66,43 +69,43 @@
 
 
 def division_key(service: str) -> str:
-    """Key that tells into how many groups a service is divided."""
+    """Returns the key of the number of groups that a service is divided into."""
     return DIVISION_PREFIX + service
 
 
 def encode_division(count: int) -> bytes:
-    """Encodes the number of groups."""
+    """Encodes a service's number of groups."""
     return packb({"schema_version": SCHEMA_VERSION, "groups": count})
 
 
 def decode_division(value: bytes) -> int:
-    """Decodes the number of groups.
+    """Decodes a service's number of groups.
 
-    :raises StoredValueError: if the value is none.
+    :raises StoredValueError: if the value is not an encoded number of groups within its bounds.
     """
     try:
         count = unpackb(value)["groups"]
     except (ValueError, TypeError, KeyError) as error:
         raise StoredValueError(f"not a number of groups: {error!r}") from error
     if type(count) is not int or not 0 < count <= MAX_GROUPS:
-        raise StoredValueError(f"{count!r} is no number of groups")
+        raise StoredValueError(f"not a valid number of groups: {count!r}")
     return count
 
 
 def model_key(group: str) -> str:
-    """Key of the run times learnt in a group."""
+    """Returns the key of the run times that a group's holders have learnt."""
     return MODEL_PREFIX + group
 
 
 def encode_model(model: RunTimeModel) -> bytes:
-    """Encodes learnt run times."""
+    """Encodes the learnt run times of a model."""
     return packb({"schema_version": SCHEMA_VERSION, **model.describe()})
 
 
 def adopt_model(model: RunTimeModel, value: bytes) -> None:
-    """Gives a model the learnt run times of a stored one.
+    """Decodes learnt run times; they replace those of a model that rests on fewer tasks.
 
-    :raises StoredValueError: if the value is not one.
+    :raises StoredValueError: if the value is not an encoded model.
     """
     try:
         model.adopt(unpackb(value))
@@ -115,10 +118,10 @@
     return packb({"schema_version": SCHEMA_VERSION, "state": state.value, "ended": ended_unix_s})
 
 
-def is_forgettable(value: bytes, now_unix_s: float) -> bool:
-    """Tells whether a finished job's state has been kept for long enough.
+def is_final_expired(value: bytes, now_unix_s: float) -> bool:
+    """Returns whether a finished job's stored state is older than its retention time.
 
-    :raises StoredValueError: if the value is not one.
+    :raises StoredValueError: if the value is not an encoded state.
     """
     try:
         return now_unix_s - float(unpackb(value)["ended"]) > FINAL_RETENTION_S
@@ -129,7 +132,7 @@
 def decode_final(value: bytes) -> JobState:
     """Decodes a finished job's state.
 
-    :raises StoredValueError: if the value is not one.
+    :raises StoredValueError: if the value is not an encoded state.
     """
     try:
         return JobState(unpackb(value)["state"])
--- a/berylproxy/durable/view.py
+++ b/berylproxy/durable/view.py
@@ -1,4 +1,4 @@
-"""What a daemon shows to operators of jobs, holders and endpoints."""
+"""Describes jobs, holders and endpoints to operators, as one daemon sees them."""
 
 from collections import Counter
 from dataclasses import dataclass
@@ -13,19 +13,19 @@
 
 @dataclass(frozen=True, slots=True)
 class DaemonView:
-    """Describes one daemon as it sees itself and the others."""
+    """Describes a daemon, its peers, the groups and their endpoints for the status page."""
 
     network: TcpPeerNetwork
     coordinator: GroupCoordinator
     clock: Clock
 
-    def describe(self, info: dict[str, Any]) -> dict[str, Any]:
-        """Describes everything, in the shape of ``GET /v1/status``.
+    def describe(self, daemon_fields: dict[str, Any]) -> dict[str, Any]:
+        """Returns the content of ``GET /v1/status``.
 
-        :param facts: what the caller knows of the daemon besides.
+        :param daemon_fields: further fields for the description of the daemon itself.
         """
         return {
-            "daemon": self._describe_daemon() | info,
+            "daemon": self._describe_daemon() | daemon_fields,
             "peers": self._describe_peers(),
             "groups": self._describe_groups(),
             "endpoints": self._describe_endpoints(),
@@ -55,13 +55,13 @@
         names = {m.identity.incarnation: m.identity.daemon_id for m in self.network.members()}
         names[self.network.identity.incarnation] = self.network.identity.daemon_id
         rows = []
-        for group, known in sorted(self.coordinator.known.items()):
+        for group, known in sorted(self.coordinator.known_holders.items()):
             holder = self.coordinator.holders.get(group)
             row = {
                 "group": group,
                 "holder": names.get(known.incarnation, known.incarnation),
                 "fence": known.fence,
-                "heard_s_ago": round(self.clock.now_s() - known.heard_s, 3),
+                "heard_s_ago": round(self.clock.now_s() - known.last_seen_s, 3),
                 "held_here": holder is not None,
             }
             if holder is not None:
@@ -73,7 +73,7 @@
         return rows
 
     def _describe_endpoints(self) -> list[dict[str, Any]]:
-        """Describes the endpoints of the groups that are held here."""
+        """Describes the endpoints of the groups that this daemon holds."""
         now_s = self.clock.now_s()
         return [
             {"group": group, **_describe_endpoint(endpoint, now_s)}
--- a/berylproxy/platform/callers.py
+++ b/berylproxy/platform/callers.py
@@ -12,8 +12,8 @@
 from berylproxy.durable.frontend import (
     JobFrontend,
     NotAcceptedError,
-    NotKnownError,
     OverloadedError,
+    ResultUnknownError,
 )
 from berylproxy.durable.models import JobSpec, JobState, StepSpec
 from berylproxy.durable.telemetry import Telemetry
@@ -153,7 +153,7 @@
         except NotAcceptedError as error:
             status = 429 if isinstance(error, OverloadedError) else 503
             await self._answer(send, status, {"error": error.message}, error.retry_after_s)
-        except NotKnownError as error:
+        except ResultUnknownError as error:
             status = 504 if scope["method"] in ("POST", "DELETE") else 503
             await self._answer(send, status, {"error": error.message}, 1.0)
         except BerylproxyError as error:
@@ -226,7 +226,7 @@
 
         async def wait_for_stop() -> None:
             await self._given_up.wait()
-            errors.append(NotKnownError("the daemon stops before the job's end"))
+            errors.append(ResultUnknownError("the daemon stops before the job's end"))
             task_group.cancel_scope.cancel()
 
         async with create_task_group() as task_group:
--- a/berylproxy/platform/daemon.py
+++ b/berylproxy/platform/daemon.py
@@ -101,7 +101,7 @@
             telemetry,
         )
         self._coordinator.remote_factor = settings.remote_factor
-        telemetry.add_gauges(self._coordinator.describe_groups)
+        telemetry.add_gauges(self._coordinator.list_group_gauges)
         self._frontend = JobFrontend(
             self._network, self._coordinator, self._store, self._clock, telemetry
         )
@@ -176,7 +176,7 @@
             return False
         store_silence_s = monotonic() - self._store.heard_s
         has_holder = any(
-            self._coordinator.holder_incarnation(group) for group in self._coordinator.known
+            self._coordinator.holder_incarnation(group) for group in self._coordinator.known_holders
         )
         return has_holder or store_silence_s < STORE_SILENCE_S
 
@@ -222,7 +222,9 @@
             await self._follow_groups.wait()
             self._follow_groups = Event()
             try:
-                is_complete = await self._coordinator.follow(set(self._configuration.services))
+                is_complete = await self._coordinator.follow_services(
+                    set(self._configuration.services)
+                )
             except StoreError as error:
                 logger.info("the groups are not known yet: {}", error.message)
                 is_complete = False
--- a/tests/durable/contention.feature
+++ b/tests/durable/contention.feature
@@ -17,7 +17,7 @@
       | 0.0     | with an | , and is leaving | 0   | 5       | 5      | claims         |
 
   Scenario: a daemon that does not suspect a holder would not claim its group either
-    Then whoever claims suspects the holder, whatever was heard of it
+    Then a daemon that should claim the group always suspects its holder
 
   Scenario Outline: a claim is replaced only if no newer one has been heard of meanwhile
     Given the fence <seen> was known when the decision to claim was made
@@ -33,7 +33,7 @@
       | 160  | 160   | 176  | may not |
       | 160  | 176   | 160  | may not |
 
-  Scenario: one candidate goes first, whoever decides
+  Scenario: all candidates agree on their order
     Given candidates "d1" to "d5" of 1 core and "big" of 2 cores
     Then each candidate has a rank of its own, and "big" the first
 
--- a/tests/durable/member.feature
+++ b/tests/durable/member.feature
@@ -1,13 +1,13 @@
 Feature: A daemon that holds nothing keeps ready to take a group over
 
   Scenario: what the holders have learnt is read with one cheap call for all groups of a service
-    Given a member of a service of 170 endpoints whose 4 groups are held elsewhere
-    When it has kept itself ready for 0.3 s
-    Then it has made 2 cheap reads of pages and none of single keys since it followed the service
-    And it expects 2.5 s for a task of each group, as their holders have learnt
+    Given a standby daemon of a service with 170 endpoints whose 4 groups are held by other daemons
+    When it has refreshed its standby data for 0.3 s
+    Then it has made 2 stale reads of pages and no reads of single keys since it began to track the service
+    And it expects a run time of 2.5 s in each group, as learnt by the holders
 
-  Scenario: a damaged value costs its own group's knowledge only
-    Given a member of a service of 170 endpoints whose 4 groups are held elsewhere
-    And the run times of the first group are damaged in the store
-    When it has kept itself ready for 0.3 s
-    Then it expects 2.5 s for a task of each group but the first, as their holders have learnt
+  Scenario: a corrupt stored value affects only its own group
+    Given a standby daemon of a service with 170 endpoints whose 4 groups are held by other daemons
+    And the stored run times of the first group are corrupt
+    When it has refreshed its standby data for 0.3 s
+    Then it expects a run time of 2.5 s in each group but the first, as learnt by the holders
--- a/tests/steps/durable_decisions_steps.py
+++ b/tests/steps/durable_decisions_steps.py
@@ -14,14 +14,14 @@
     HolderObservation,
     is_suspect,
     may_hold_provisionally,
-    may_replace,
+    may_replace_claim,
     provisional_fence,
     rank,
     should_claim,
 )
 from berylproxy.durable.estimates import RunTimeModel
 from berylproxy.durable.fleet import EndpointState
-from berylproxy.durable.groups import choose_group, count_groups, is_settled, list_groups
+from berylproxy.durable.groups import choose_group, count_groups, is_list_stable, list_groups
 from berylproxy.durable.job_table import JobTable
 from berylproxy.durable.leases import LeaseClock
 from berylproxy.durable.models import (
@@ -91,7 +91,7 @@
     assert context.claims == (verdict == "claims")
 
 
-@then(r"whoever claims suspects the holder, whatever was heard of it")
+@then(r"a daemon that should claim the group always suspects its holder")
 def step_impl(context):
     counts = strategies.integers(0, 40)
 
@@ -118,7 +118,7 @@
 
 @when(r"the fence (?P<known>\d+) is known after the read, which found the fence (?P<read>\d+)")
 def step_impl(context, known, read):
-    context.may_replace = may_replace(context.seen_fence, int(known), int(read))
+    context.may_replace = may_replace_claim(context.seen_fence, int(known), int(read))
 
 
 @then(r"the claim (?P<verdict>may|may not) be replaced")
@@ -145,7 +145,8 @@
 @when(r'"big" holds 1 group and "d1" holds 1 group')
 def step_impl(context):
     context.candidates = [
-        replace(each, holds=int(each.daemon_id in ("big", "d1"))) for each in context.candidates
+        replace(each, held_group_count=int(each.daemon_id in ("big", "d1")))
+        for each in context.candidates
     ]
 
 
@@ -192,7 +193,7 @@
 
 @given(r"looks at the list that saw (?P<first>\d+) and (?P<second>\d+) endpoints")
 def step_impl(context, first, second):
-    context.is_settled = is_settled([int(first), int(second)])
+    context.is_settled = is_list_stable([int(first), int(second)])
 
 
 @then(r"the list (?P<state>has|has not) settled")
--- a/tests/steps/durable_member_steps.py
+++ b/tests/steps/durable_member_steps.py
@@ -1,4 +1,4 @@
-"""Steps for a member whose network is a stub."""
+"""Steps for a group coordinator whose peer network is a stub."""
 
 from types import SimpleNamespace
 
@@ -17,14 +17,14 @@
 
 SERVICE, QUEUE = "ledger", "q"
 GROUPS = 4
-LEARNT_S = 2.5
-LEARNT_FROM = 50
+LEARNT_RUN_TIME_S = 2.5
+LEARNT_TASKS = 50
 
 use_step_matcher("re")
 
 
 def make_network():
-    """Makes a network without other daemons."""
+    """Makes a stub of a peer network without other daemons."""
     return SimpleNamespace(
         identity=DaemonIdentity("d0", "i0", "a", "127.0.0.1:1"),
         handle_request=lambda *_: None,
@@ -37,18 +37,18 @@
 
 
 def write(store, key, value):
-    """Writes a key as another daemon."""
+    """Writes a key to the store as another daemon would."""
     store.revision += 1
     store.entries[key] = Entry(key, value, store.revision)
 
 
-@given(r"a member of a service of 170 endpoints whose 4 groups are held elsewhere")
+@given(r"a standby daemon of a service with 170 endpoints whose 4 groups are held by other daemons")
 def step_impl(context):
     context.store = FakeJobStore()
     write(context.store, division_key(SERVICE), encode_division(GROUPS))
     model = RunTimeModel()
-    for _ in range(LEARNT_FROM):
-        model.learn(QUEUE, 0.0, "e1", LEARNT_S)
+    for _ in range(LEARNT_TASKS):
+        model.learn(QUEUE, 0.0, "e1", LEARNT_RUN_TIME_S)
     for group in list_groups(SERVICE, GROUPS):
         write(context.store, model_key(group), encode_model(model))
     context.coordinator = GroupCoordinator(
@@ -64,34 +64,34 @@
     )
 
 
-@given(r"the run times of the first group are damaged in the store")
+@given(r"the stored run times of the first group are corrupt")
 def step_impl(context):
     write(context.store, model_key(list_groups(SERVICE, GROUPS)[0]), b"\xc1")
 
 
-@when(r"it has kept itself ready for (?P<time_s>[\d.]+) s")
+@when(r"it has refreshed its standby data for (?P<time_s>[\d.]+) s")
 def step_impl(context, time_s):
-    async def keep_ready():
-        assert await context.coordinator.follow({SERVICE})
-        context.followed = context.store.reads["key"]
+    async def refresh():
+        assert await context.coordinator.follow_services({SERVICE})
+        context.reads_at_start = context.store.reads["key"]
         with move_on_after(float(time_s)):
-            await context.coordinator._keep_prepared()
+            await context.coordinator._refresh_standby_data()
 
-    run(keep_ready)
+    run(refresh)
 
 
 @then(
-    r"it has made (?P<pages>\d+) cheap reads of pages and none of single keys since it followed "
-    r"the service"
+    r"it has made (?P<pages>\d+) stale reads of pages and no reads of single keys since it began "
+    r"to track the service"
 )
 def step_impl(context, pages):
     assert context.store.reads["stale page"] == int(pages), context.store.reads
-    assert context.store.reads["key"] == context.followed == 1 + GROUPS, context.store.reads
+    assert context.store.reads["key"] == context.reads_at_start == 1 + GROUPS, context.store.reads
 
 
 @then(
-    r"it expects (?P<expected_s>[\d.]+) s for a task of each group(?P<rest> but the first)?, as "
-    r"their holders have learnt"
+    r"it expects a run time of (?P<expected_s>[\d.]+) s in each group(?P<rest> but the first)?, as "
+    r"learnt by the holders"
 )
 def step_impl(context, expected_s, rest):
     groups = list_groups(SERVICE, GROUPS)[1 if rest else 0 :]
