--- a/berylproxy/durable/contention.py
+++ b/berylproxy/durable/contention.py
@@ -59,18 +59,20 @@
     return sum(_preference_key(group, other) < own_key for other in others)
 
 
-def should_claim(observation: HolderObservation, own_rank: int, reached: int, listed: int) -> bool:
+def should_claim(
+    observation: HolderObservation, own_rank: int, reached_count: int, listed_count: int
+) -> bool:
     """Returns whether this daemon should claim the group now.
 
     A daemon that reaches less than half of the listed others waits longer: it may be the one that
     is cut off.
 
     :param own_rank: number of candidates that precede this daemon.
-    :param reached: number of other daemons that it has streams to, without the holder.
-    :param listed: number of other daemons that the store lists, without the holder.
+    :param reached_count: number of other daemons that it has streams to, without the holder.
+    :param listed_count: number of other daemons that the store lists, without the holder.
     """
     limit_s = _suspicion_timeout_s(observation) + own_rank * RANK_DELAY_S
-    if 2 * reached < listed:
+    if 2 * reached_count < listed_count:
         limit_s += MINORITY_DELAY_S
     return observation.silence_s >= limit_s
 
--- a/berylproxy/durable/coordinator.py
+++ b/berylproxy/durable/coordinator.py
@@ -269,8 +269,8 @@
                 return decode_division(entry.value)
             counts = []
             for _ in range(2):
-                listed = await self._directory.fetch()
-                counts.append(sum(info.service == service for info in listed))
+                endpoints = await self._directory.fetch()
+                counts.append(sum(info.service == service for info in endpoints))
                 await sleep(DIVISION_CHECK_INTERVAL_S)
             if not is_list_stable(counts):
                 return 0
@@ -373,16 +373,18 @@
             if m.ready and (not has_store or _read_heartbeat_part(m).get("has_store", True))
         ]
         own = Candidate(self._network.identity.daemon_id, self.cores, self._count_held())
-        listed = len(set(self._list_members()) - {own.daemon_id, self._holder_daemon_id(known)})
+        listed_count = len(
+            set(self._list_members()) - {own.daemon_id, self._holder_daemon_id(known)}
+        )
         own_rank = rank(group, own, candidates)
         if self._task_group is None:
             return
         if self._clock.now_s() < self._claim_paused_until_s.get(group, 0.0):
             return
-        if has_store and should_claim(observation, own_rank, len(members), listed):
+        if has_store and should_claim(observation, own_rank, len(members), listed_count):
             self._claiming.add(group)
             self._task_group.start_soon(self._claim_group, group, observation)
-        elif not has_store and should_claim(observation, own_rank, listed, listed):
+        elif not has_store and should_claim(observation, own_rank, listed_count, listed_count):
             self._hold_provisionally(group, known, own_rank)
 
     def _hold_provisionally(self, group: str, known: KnownHolder, own_rank: int) -> None:
@@ -392,18 +394,23 @@
         tenure, which has ended, or if no provisional fence is left.
         """
         fence = provisional_fence(known.fence, own_rank)
-        listed = Counter(self._list_members().values())
+        listed_domains = Counter(self._list_members().values())
         own_domain = self._network.identity.failure_domain
-        reached = Counter(m.identity.failure_domain for m in self.live_members())
-        reached[own_domain] += 1
+        reached_domains = Counter(m.identity.failure_domain for m in self.live_members())
+        reached_domains[own_domain] += 1
         if not known.fence or not fence or self._last_provisional_fences.get(group) == known.fence:
             return
-        if not may_hold_provisionally(reached, listed, own_domain):
+        if not may_hold_provisionally(reached_domains, listed_domains, own_domain):
             return
         logger.warning(
             "holding {} provisionally, without a claim: no answer from the store or the holder",
             group,
-            extra={"group": group, "fence": fence, "former": known.fence, "reached": dict(reached)},
+            extra={
+                "group": group,
+                "fence": fence,
+                "former": known.fence,
+                "reached": dict(reached_domains),
+            },
         )
         self._last_provisional_fences[group] = fence
         self._claiming.add(group)
