--- a/berylproxy/platform/callers.py
+++ b/berylproxy/platform/callers.py
@@ -12,8 +12,8 @@
 from berylproxy.durable.frontend import (
     JobFrontend,
     NotAcceptedError,
-    NotKnownError,
     OverloadedError,
+    ResultUnknownError,
 )
 from berylproxy.durable.models import JobSpec, JobState, StepSpec
 from berylproxy.durable.telemetry import Telemetry
@@ -158,7 +158,7 @@
         except NotAcceptedError as error:
             status = 429 if isinstance(error, OverloadedError) else 503
             await self._send_response(send, status, {"error": error.message}, error.retry_after_s)
-        except NotKnownError as error:
+        except ResultUnknownError as error:
             status = 504 if scope["method"] in ("POST", "DELETE") else 503
             await self._send_response(send, status, {"error": error.message}, 1.0)
         except BerylproxyError as error:
@@ -231,7 +231,7 @@
 
         async def wait_for_stop() -> None:
             await self._waiting_abandoned.wait()
-            errors.append(NotKnownError("the daemon stopped before the end of the job"))
+            errors.append(ResultUnknownError("the daemon stopped before the end of the job"))
             task_group.cancel_scope.cancel()
 
         async with create_task_group() as task_group:
--- a/berylproxy/platform/daemon.py
+++ b/berylproxy/platform/daemon.py
@@ -102,7 +102,7 @@
             telemetry,
         )
         self._coordinator.remote_factor = settings.remote_factor
-        telemetry.add_gauges(self._coordinator.describe_groups)
+        telemetry.add_gauges(self._coordinator.list_group_gauges)
         self._frontend = JobFrontend(
             self._network, self._coordinator, self._store, self._clock, telemetry
         )
@@ -177,7 +177,7 @@
             return False
         store_silence_s = monotonic() - self._store.last_contact_s
         has_holder = any(
-            self._coordinator.holder_incarnation(group) for group in self._coordinator.known
+            self._coordinator.holder_incarnation(group) for group in self._coordinator.known_holders
         )
         return has_holder or store_silence_s < MAX_STORE_SILENCE_S
 
@@ -223,7 +223,9 @@
             await self._groups_changed.wait()
             self._groups_changed = Event()
             try:
-                is_complete = await self._coordinator.follow(set(self._configuration.services))
+                is_complete = await self._coordinator.follow_services(
+                    set(self._configuration.services)
+                )
             except StoreError as error:
                 logger.info("the groups can't be loaded yet: {}", error.message)
                 is_complete = False
