--- a/berylproxy/durable/__init__.py
+++ b/berylproxy/durable/__init__.py
@@ -1,1 +1,1 @@
-"""Durable jobs: accepted once they are stored, carried on whichever daemons fail."""
+"""Durable jobs: stored before they are accepted, and carried out even if daemons fail."""
--- a/berylproxy/durable/acceptance.py
+++ b/berylproxy/durable/acceptance.py
@@ -1,7 +1,7 @@
-"""Whether a new job is taken, or refused at once with when to come back. Pure.
+"""Decides whether to accept a new job, or to refuse it with a time to retry after.
 
-Answers bursts above the capacity: a job that would end after it has lost its worth takes room from
-jobs that would not.
+Without a clock or sockets. Made for bursts above the capacity: a job whose answer would come too
+late to be worth anything takes resources from jobs that could still end in time.
 """
 
 from collections.abc import Iterable
@@ -11,20 +11,20 @@
 from berylproxy.durable.estimates import RunTimeModel
 from berylproxy.durable.fleet import EndpointState
 from berylproxy.durable.job_table import ACTIVE_STATUSES, Job, TaskStatus
-from berylproxy.durable.placement import last_useful_s, objective_s
+from berylproxy.durable.placement import latest_useful_end_s, objective_s
 
 SHORTEST_RETRY_AFTER_S = 1.0  # Retry-After counts whole seconds
 LONGEST_RETRY_AFTER_S = 10.0
-TOO_LATE = "its answer would come too late"  # the one reason for a refusal under load
-MAX_OPEN_JOBS = 5_000  # memory of a holder: some 4 KB each
+TOO_LATE = "its answer would come too late"  # the only reason for a refusal under load
+MAX_OPEN_JOBS = 5_000  # bounds a holder's memory, of which a job takes some 4 KB
 
 
 @dataclass(frozen=True, slots=True)
 class Backlog:
-    """Work ahead of a new job.
+    """The work that will be placed before a new job.
 
-    :param work_core_s: core seconds that are to be done before it.
-    :param capacity_cores: cores of the endpoints that take work, weighted by their speed.
+    :param work_core_s: that work in core seconds.
+    :param capacity_cores: usable cores of the available endpoints, weighted by their speed.
     """
 
     work_core_s: float
@@ -32,12 +32,14 @@
 
     @property
     def wait_s(self) -> float:
-        """Time until the work ahead is done."""
+        """Time until the backlog is processed; infinite without capacity."""
         return self.work_core_s / self.capacity_cores if self.capacity_cores > 0 else float("inf")
 
 
-WAIT_OVERESTIMATE = 4 / 3  # of the expected end: jobs ahead that give up or are passed count whole
-PACKED_SHARE = 0.85  # tasks of 27 cores leave a sixth of endpoints of 64 and 96 cores unused
+# Factor by which the expected end is overestimated: jobs of the backlog that are abandoned or
+# overtaken count in full.
+WAIT_OVERESTIMATE = 4 / 3
+USABLE_CORES_SHARE = 0.85  # tasks of 27 cores leave a sixth of endpoints of 64 and 96 cores unused
 
 
 def measure_backlog(
@@ -47,9 +49,9 @@
     now_s: float,
     deadline_s: float,
 ) -> Backlog:
-    """Sums up the work that will be placed before a job with some deadline.
+    """Sums up the work that will be placed before a job with a given deadline.
 
-    :param deadline_s: monotonic time; open jobs due later are passed by.
+    :param deadline_s: monotonic time; only the running tasks of open jobs that are due later count.
     """
     work_core_s = 0.0
     for job in jobs:
@@ -62,14 +64,14 @@
             is_active = task.status in ACTIVE_STATUSES
             if not is_active and not is_ahead:
                 continue
-            left_s = model.expected_run_time_s(job.spec.terms.queue, task.step.estimate_s)
+            remaining_s = model.expected_run_time_s(job.spec.terms.queue, task.step.estimate_s)
             if is_active:
-                left_s = max(left_s - (now_s - task.started_s), left_s / 10)
-            work_core_s += left_s * task.step.needs.cpu_millicores / 1000
+                remaining_s = max(remaining_s - (now_s - task.started_s), remaining_s / 10)
+            work_core_s += remaining_s * task.step.needs.cpu_millicores / 1000
     capacity_cores = sum(
         endpoint.info.capacity.cpu_millicores
         / 1000
-        * PACKED_SHARE
+        * USABLE_CORES_SHARE
         * model.speed(endpoint.info.instance.endpoint_id)
         for endpoint in endpoints
         if endpoint.is_serving(now_s)
@@ -77,14 +79,14 @@
     return Backlog(work_core_s, capacity_cores)
 
 
-def judge(
+def decide_admission(
     job: Job,
     jobs: Iterable[Job],
     endpoints: Iterable[EndpointState],
     model: RunTimeModel,
     now_s: float,
 ) -> float | None:
-    """Returns ``None`` to take a job, or after how many seconds its caller may come back."""
+    """Returns ``None`` to accept a job, or the number of seconds after which to retry it."""
     deadline_s = now_s + objective_s(job)
     backlog = measure_backlog(jobs, endpoints, model, now_s, deadline_s)
     if backlog.capacity_cores <= 0:
@@ -95,9 +97,9 @@
         / 1000
         for task in job.tasks.values()
     )
-    spread_s = own_core_s / backlog.capacity_cores
-    end_s = backlog.wait_s + max(job.expected_s, spread_s)
-    if end_s <= WAIT_OVERESTIMATE * (last_useful_s(job) - now_s):
+    parallel_s = own_core_s / backlog.capacity_cores
+    end_s = backlog.wait_s + max(job.expected_s, parallel_s)
+    if end_s <= WAIT_OVERESTIMATE * (latest_useful_end_s(job) - now_s):
         return None
     excess_s = end_s - objective_s(job)
     return float(ceil(min(max(excess_s, SHORTEST_RETRY_AFTER_S), LONGEST_RETRY_AFTER_S)))
--- a/berylproxy/durable/best_effort.py
+++ b/berylproxy/durable/best_effort.py
@@ -12,7 +12,7 @@
 from berylproxy.durable.ledger import NotHolderError, TenureLostError
 from berylproxy.durable.messages import JobSubmission, JobSubmissionReply
 from berylproxy.durable.models import JobSpec, StoredJob
-from berylproxy.durable.placement import is_hopeless
+from berylproxy.durable.placement import is_too_late
 from berylproxy.durable.tenure import Tenure
 from berylproxy.errors import BerylproxyError
 
@@ -143,7 +143,7 @@
                 continue
             if not is_entry_alive(job.entry):
                 self.drop(job.spec.job_id, "its entry daemon is not heard")
-            elif is_hopeless(job, now_s):
+            elif is_too_late(job, now_s):
                 self._give_up(job, now_s)
 
     def _give_up(self, job: Job, now_s: float) -> None:
@@ -168,7 +168,7 @@
         :param reply: if the job's state is not the whole answer.
         :param error: if there is no answer.
         """
-        self._group.stop_active(job)
+        self._group.stop_all_runs(job)
         job_id = job.spec.job_id
         if job_id not in self._job_table.jobs:
             return
--- a/berylproxy/durable/estimates.py
+++ b/berylproxy/durable/estimates.py
@@ -1,13 +1,15 @@
-"""Run times learnt from finished tasks: callers' estimates are rough, endpoints differ in speed.
+"""Estimates run times from finished tasks, without a clock or sockets.
 
-Pure: answers the load of many short tasks on VMs of several generations.
+Callers' estimates are rough, and endpoints differ in speed. Made for many short tasks on VMs of
+several generations.
 """
 
 from dataclasses import dataclass, field
 from math import exp, log
 
-QUEUE_LEARNING_RATE = 0.05  # share of a new observation in a queue's mean, some 20 tasks' memory
-SPEED_LEARNING_RATE = 0.1  # an endpoint that turns slow shows within some ten tasks
+# Weight of a new observation in the exponential moving average of a queue: about 20 tasks count.
+QUEUE_LEARNING_RATE = 0.05
+SPEED_LEARNING_RATE = 0.1  # an endpoint that becomes slow is recognized within about ten tasks
 SHORTEST_RUN_TIME_S = 0.001
 DEFAULT_RUN_TIME_S = 0.2  # for a queue's first task without an estimate
 MAX_SPEED_RATIO = 20.0
@@ -15,14 +17,14 @@
 
 @dataclass(slots=True)
 class QueueHistory:
-    """What a queue's tasks have shown, as logarithms of seconds.
+    """Run time statistics of a queue's finished tasks.
 
-    :ivar mean_log_s: mean of the run times at speed 1.
-    :ivar seen: number of tasks.
+    :ivar mean_log_s: mean logarithm of the run times in seconds, at speed 1.
+    :ivar task_count: number of tasks that were counted.
     """
 
     mean_log_s: float = 0.0
-    seen: int = 0
+    task_count: int = 0
 
 
 @dataclass(slots=True)
@@ -34,17 +36,20 @@
     _total_log_speed: float = 0.0
 
     def expected_run_time_s(self, queue: str, estimate_s: float) -> float:
-        """Expects a task's run time at speed 1: between its estimate and its queue's mean."""
+        """Returns a task's expected run time at speed 1, between its estimate and its queue's mean.
+
+        :param estimate_s: the caller's estimate; 0 if not given.
+        """
         history = self._queues.get(queue)
-        if history is None or not history.seen:
+        if history is None or not history.task_count:
             return max(estimate_s, SHORTEST_RUN_TIME_S) if estimate_s else DEFAULT_RUN_TIME_S
         if not estimate_s:
             return exp(history.mean_log_s)
-        # Both deviate from the truth by a similar factor, so each counts half.
+        # Both deviate from the real run time by a similar factor, so each counts half.
         return exp((log(max(estimate_s, SHORTEST_RUN_TIME_S)) + history.mean_log_s) / 2)
 
     def speed(self, endpoint_id: str) -> float:
-        """Returns an endpoint's speed against the mean of all; 1 until it is known."""
+        """Returns an endpoint's speed relative to the mean of all; 1 until the speed is known."""
         return exp(self._log_speed(endpoint_id))
 
     def _mean_log_speed(self) -> float:
@@ -56,46 +61,51 @@
         return self._speeds[endpoint_id] - self._mean_log_speed()
 
     def learn(self, queue: str, estimate_s: float, endpoint_id: str, run_time_s: float) -> None:
-        """Takes the run time of a task that was done."""
+        """Updates the estimates with the run time of a task that was done."""
         observed = log(max(run_time_s, SHORTEST_RUN_TIME_S))
         expected = log(self.expected_run_time_s(queue, estimate_s))
-        speed = self._speeds.get(endpoint_id, self._mean_log_speed())
+        log_speed = self._speeds.get(endpoint_id, self._mean_log_speed())
         limit = log(MAX_SPEED_RATIO)
-        shown = min(max(expected - observed, -limit), limit)
+        observed_log_speed = min(max(expected - observed, -limit), limit)
         self.forget(endpoint_id)
-        self._speeds[endpoint_id] = speed + SPEED_LEARNING_RATE * (shown - speed)
+        self._speeds[endpoint_id] = log_speed + SPEED_LEARNING_RATE * (
+            observed_log_speed - log_speed
+        )
         self._total_log_speed += self._speeds[endpoint_id]
         history = self._queues.setdefault(queue, QueueHistory())
-        history.seen += 1
-        rate = max(QUEUE_LEARNING_RATE, 1 / history.seen)
-        relative = self._log_speed(endpoint_id)
-        history.mean_log_s += rate * (observed + relative - history.mean_log_s)
+        history.task_count += 1
+        rate = max(QUEUE_LEARNING_RATE, 1 / history.task_count)
+        relative_log_speed = self._log_speed(endpoint_id)
+        history.mean_log_s += rate * (observed + relative_log_speed - history.mean_log_s)
 
     def describe(self) -> dict[str, dict]:
-        """Describes what has been learnt, in plain values."""
-        queues = {name: [h.mean_log_s, h.seen] for name, h in self._queues.items()}
+        """Returns the learnt estimates as plain values, for :meth:`adopt`."""
+        queues = {
+            name: [history.mean_log_s, history.task_count] for name, history in self._queues.items()
+        }
         return {"queues": queues, "speeds": dict(self._speeds)}
 
     def adopt(self, description: dict[str, dict]) -> None:
-        """Takes over what another daemon has learnt, where it has seen more.
+        """Replaces the estimates by those of another daemon if they are based on more tasks.
 
-        :raises ValueError: if it is no description.
+        :param description: the other daemon's estimates, from :meth:`describe`.
+        :raises ValueError: if the description is malformed.
         """
         try:
             queues = {
-                str(name): QueueHistory(float(mean_log_s), int(seen))
-                for name, (mean_log_s, seen) in description["queues"].items()
+                str(name): QueueHistory(float(mean_log_s), int(task_count))
+                for name, (mean_log_s, task_count) in description["queues"].items()
             }
             speeds = {str(name): float(value) for name, value in description["speeds"].items()}
         except (TypeError, KeyError, AttributeError) as error:
             raise ValueError(f"not a description of run times: {error!r}") from error
-        known = sum(history.seen for history in self._queues.values())
-        if sum(history.seen for history in queues.values()) <= known:
+        known_count = sum(history.task_count for history in self._queues.values())
+        if sum(history.task_count for history in queues.values()) <= known_count:
             return
         self._queues = queues
         self._speeds = speeds
         self._total_log_speed = sum(speeds.values())
 
     def forget(self, endpoint_id: str) -> None:
-        """Drops an endpoint that is gone."""
+        """Drops the speed of an endpoint that no longer exists."""
         self._total_log_speed -= self._speeds.pop(endpoint_id, 0.0)
--- a/berylproxy/durable/fleet.py
+++ b/berylproxy/durable/fleet.py
@@ -1,168 +1,193 @@
-"""The endpoints of a group as their holder sees them: room, trust, ends to acknowledge."""
+"""A holder's view of its endpoints: free resources, quarantine, run ends to acknowledge."""
 
 from dataclasses import dataclass, field
 from math import inf
 
-from berylproxy.durable.models import EndedRun, EndpointInfo, Needs, TaskName
+from berylproxy.durable.models import EndedRun, EndpointInfo, Resources, TaskName
 
-FIRST_QUARANTINE_S = 0.5  # one task of a second or less may show whether it works again
+# After the first quarantine, one task of a second or less may show whether the endpoint works.
+FIRST_QUARANTINE_S = 0.5
 LONGEST_QUARANTINE_S = 4.0
-FAILURES_BEFORE_QUARANTINE = 2  # in a row, of tasks that have not failed elsewhere
-NO_ROOM_PAUSE_S = 0.05  # the longest stop of a run, whose room the holder counted as free
+FAILURES_BEFORE_QUARANTINE = 2  # in a row, of tasks that have not failed on another endpoint
+# The longest time that an endpoint takes to stop a run whose resources the holder counts as free.
+NO_ROOM_PAUSE_S = 0.05
 
 
 @dataclass(slots=True)
 class EndpointList:
-    """The platform's list as it was last read.
+    """The platform's list of endpoints as it was last read.
 
-    :ivar read_s: monotonic time of that; 0 before the first.
+    :ivar read_s: monotonic time of the last read; 0 before the first one.
     """
 
-    info: tuple[EndpointInfo, ...] = ()
+    endpoints: tuple[EndpointInfo, ...] = ()
     read_s: float = 0.0
 
-    def update(self, info: tuple[EndpointInfo, ...], now_s: float) -> None:
-        """Takes a list that was just read."""
-        self.info, self.read_s = info, now_s
+    def update(self, endpoints: tuple[EndpointInfo, ...], now_s: float) -> None:
+        """Replaces the list by one that was just read."""
+        self.endpoints, self.read_s = endpoints, now_s
 
 
 @dataclass(slots=True, eq=False)
-class PresentRun:
-    """A run that an endpoint may have.
-
-    :ivar answered_s: when the endpoint confirmed it; infinite until then.
-    :ivar stop_answered_s: when the endpoint confirmed a stop; infinite until then.
-    :ivar is_uncertain: whether the order to start it was not answered.
-    :ivar is_orphan: whether a former holder ordered it for a job that is not known here. Its lease
-        must not be extended: the former holder may count on its lapse.
+class EndpointRun:
+    """A run that is, or may be, active on an endpoint.
+
+    :ivar confirmed_s: monotonic time at which the endpoint confirmed the run; infinite until then.
+    :ivar stop_confirmed_s: monotonic time at which the endpoint confirmed that it stopped the run;
+        infinite until then.
+    :ivar is_uncertain: whether the order to start the run was not answered.
+    :ivar is_orphan: whether a former holder ordered the run for a job that this holder doesn't
+        know. The lease of such a run must not be extended, because the former holder may rely on
+        its lapse.
     """
 
-    needs: Needs
-    answered_s: float = inf
-    stop_answered_s: float = inf
+    needs: Resources
+    confirmed_s: float = inf
+    stop_confirmed_s: float = inf
     is_uncertain: bool = False
     is_orphan: bool = False
 
-    def is_over(self, report_sent_s: float) -> bool:
-        """Tells whether a report that doesn't show the run means that it is not there."""
-        return min(self.answered_s, self.stop_answered_s) < report_sent_s
+    def is_gone(self, report_sent_s: float) -> bool:
+        """Returns whether the run is certainly not active if a report doesn't list it.
+
+        :param report_sent_s: monotonic time at which the report was requested.
+        """
+        return min(self.confirmed_s, self.stop_confirmed_s) < report_sent_s
 
 
 @dataclass(slots=True, eq=False)
 class EndpointState:
-    """What the holder knows of one life of an endpoint.
-
-    :ivar present: what may run there, by task and run, with the room it takes.
-    :ivar contacted_s: when it first answered under this holder's fence; ``None`` until then.
-    :ivar missed_calls: calls in a row without an answer.
-    :ivar heard_s: monotonic time of its last answer to a renewal.
-    :ivar is_listed: whether the platform's list names it.
-    :ivar closed_until_s: monotonic time before which nothing is started there.
+    """State that the holder keeps for one instance of an endpoint.
+
+    :ivar runs: runs that may be active on the endpoint, by task and run number, with the resources
+        that each takes.
+    :ivar ends: ends of runs that the endpoint still remembers, by their number.
+    :ivar released: numbers of the ends that the endpoint may forget.
+    :ivar acknowledged: number up to which the endpoint may forget all ends.
+    :ivar contacted_s: monotonic time at which the endpoint first answered under this holder's
+        fence; ``None`` until then.
+    :ivar missed_calls: consecutive calls without an answer.
+    :ivar last_answer_s: monotonic time of the endpoint's last answer to a renewal.
+    :ivar is_listed: whether the platform's list names the endpoint.
+    :ivar quarantined_until_s: monotonic time before which no task is started on the endpoint.
+    :ivar used: resources taken by all ``runs``.
     """
 
     info: EndpointInfo
-    present: dict[tuple[TaskName, int], PresentRun] = field(default_factory=dict)
+    runs: dict[tuple[TaskName, int], EndpointRun] = field(default_factory=dict)
     ends: dict[int, EndedRun] = field(default_factory=dict)
     released: set[int] = field(default_factory=set)
     acknowledged: int = 0
     contacted_s: float | None = None
     is_listed: bool = True
     missed_calls: int = 0
-    heard_s: float = 0.0
-    closed_until_s: float = 0.0
+    last_answer_s: float = 0.0
+    quarantined_until_s: float = 0.0
     failures_in_row: int = 0
     quarantine_s: float = FIRST_QUARANTINE_S
-    used: Needs = field(default_factory=Needs)
+    used: Resources = field(default_factory=Resources)
 
     @property
     def has_orphans(self) -> bool:
-        """Whether it runs something whose lease must not be extended, as an order would do."""
-        return any(run.is_orphan for run in self.present.values())
+        """Whether the endpoint has runs whose lease must not be extended.
+
+        A start order would extend the lease.
+        """
+        return any(run.is_orphan for run in self.runs.values())
 
     @property
     def is_contacted(self) -> bool:
-        """Whether it takes orders under this holder's fence only."""
+        """Whether the endpoint has answered, and so rejects orders under lower fences."""
         return self.contacted_s is not None
 
     @property
     def is_idle(self) -> bool:
-        """Whether there is nothing to ask it: it answered last time, runs and remembers nothing."""
-        return self.is_contacted and not (self.present or self.ends or self.missed_calls)
+        """Whether the endpoint needs no polling.
+
+        It answered the last call, has no runs and remembers no ends.
+        """
+        return self.is_contacted and not (self.runs or self.ends or self.missed_calls)
 
     @property
-    def room(self) -> Needs:
-        """What is left of its capacity; stopping runs still count."""
+    def free_resources(self) -> Resources:
+        """The unused part of the endpoint's capacity; runs that are being stopped count as used."""
         return self.info.capacity - self.used
 
     @property
     def free_millicores(self) -> int:
-        """What is left of its processor, in thousandths of a core."""
+        """The unused part of the endpoint's processor capacity, in thousandths of a core."""
         return self.info.capacity.cpu_millicores - self.used.cpu_millicores
 
     def may_start(self, now_s: float) -> bool:
-        """Tells whether tasks may be started there now."""
+        """Returns whether tasks may be started on the endpoint now."""
         return self.is_serving(now_s) and not self.has_orphans
 
     def is_serving(self, now_s: float) -> bool:
-        """Tells whether its room counts for jobs to come."""
+        """Returns whether the endpoint's capacity is available to future jobs."""
         return (
             self.is_contacted
             and self.is_listed
             and not self.info.leaving
             and not self.missed_calls
-            and now_s >= self.closed_until_s
+            and now_s >= self.quarantined_until_s
         )
 
-    def occupy(self, name: TaskName, run: int, needs: Needs) -> PresentRun:
-        """Counts a run as present."""
-        present = self.present.get((name, run))
-        if present is None:
-            present = self.present[name, run] = PresentRun(needs)
+    def add_run(self, name: TaskName, run: int, needs: Resources) -> EndpointRun:
+        """Adds a run and counts its resources as used; returns the known one if there is one."""
+        endpoint_run = self.runs.get((name, run))
+        if endpoint_run is None:
+            endpoint_run = self.runs[name, run] = EndpointRun(needs)
             self.used = self.used + needs
-        return present
+        return endpoint_run
 
-    def vacate(self, name: TaskName, run: int) -> None:
-        """Counts a run as gone."""
-        present = self.present.pop((name, run), None)
-        if present is not None:
-            self.used = self.used - present.needs
+    def remove_run(self, name: TaskName, run: int) -> None:
+        """Removes a run and counts its resources as free."""
+        endpoint_run = self.runs.pop((name, run), None)
+        if endpoint_run is not None:
+            self.used = self.used - endpoint_run.needs
 
     def note_failure(self, now_s: float) -> bool:
-        """Counts a failed task that did not fail elsewhere; returns whether it is now closed."""
+        """Counts a failure of a task that did not fail on another endpoint.
+
+        :return: whether the endpoint is in quarantine now.
+        """
         self.failures_in_row += 1
         if self.failures_in_row < FAILURES_BEFORE_QUARANTINE:
             return False
-        self.close(now_s)
+        self.quarantine(now_s)
         return True
 
-    def close(self, now_s: float) -> None:
-        """Starts nothing there for a while, twice as long each time."""
-        self.closed_until_s = now_s + self.quarantine_s
+    def quarantine(self, now_s: float) -> None:
+        """Stops starting tasks on the endpoint for a period that doubles each time."""
+        self.quarantined_until_s = now_s + self.quarantine_s
         self.quarantine_s = min(2 * self.quarantine_s, LONGEST_QUARANTINE_S)
 
     def note_success(self) -> None:
-        """Trusts the endpoint again."""
+        """Resets the failure count and the length of the next quarantine."""
         self.failures_in_row = 0
         self.quarantine_s = FIRST_QUARANTINE_S
 
     def note_no_room(self, now_s: float) -> None:
-        """Waits for what the endpoint still has to free."""
-        self.closed_until_s = max(self.closed_until_s, now_s + NO_ROOM_PAUSE_S)
+        """Pauses starts until the endpoint has freed the resources of runs that it is stopping."""
+        self.quarantined_until_s = max(self.quarantined_until_s, now_s + NO_ROOM_PAUSE_S)
+
+    def add_end(self, end: EndedRun) -> bool:
+        """Stores the end of a run until the endpoint may forget it.
 
-    def take_end(self, end: EndedRun) -> bool:
-        """Keeps an end until it may be forgotten; returns whether it is news."""
+        :return: whether the end was not known before.
+        """
         if end.number <= self.acknowledged or end.number in self.ends:
             return False
         self.ends[end.number] = end
         return True
 
-    def release(self, number: int) -> None:
-        """Notes that an end need not be remembered by the endpoint."""
+    def release_end(self, number: int) -> None:
+        """Marks an end as one that the endpoint may forget."""
         if number in self.ends:
             self.released.add(number)
 
     def next_acknowledgement(self) -> int:
-        """Returns the number up to which all ends may be forgotten, and drops them here."""
+        """Returns the number up to which the endpoint may forget all ends, and drops these ends."""
         while self.ends:
             first = min(self.ends)
             if first not in self.released:
--- a/berylproxy/durable/group.py
+++ b/berylproxy/durable/group.py
@@ -1,4 +1,4 @@
-"""A holder's dealings with the endpoints of its group: leases, reports, orders, stops."""
+"""Polls the endpoints of a holder's group, renews their leases, and starts and stops runs there."""
 
 from collections.abc import Callable
 from math import inf
@@ -7,7 +7,7 @@
 from logbook import Logger
 
 from berylproxy.durable.estimates import RunTimeModel
-from berylproxy.durable.fleet import EndpointList, EndpointState, PresentRun
+from berylproxy.durable.fleet import EndpointList, EndpointRun, EndpointState
 from berylproxy.durable.job_table import ACTIVE_STATUSES, Job, JobTable, Task, TaskStatus
 from berylproxy.durable.models import (
     EndedRun,
@@ -20,7 +20,7 @@
 )
 from berylproxy.durable.ports import (
     EndpointCallError,
-    EndpointCalls,
+    EndpointClient,
     EndpointDirectory,
     FencedOffError,
     OtherInstanceError,
@@ -30,20 +30,23 @@
 from berylproxy.durable.tenure import Tenure
 from berylproxy.store.port import StoreUnavailableError
 
-DIRECTORY_INTERVAL_S = 0.7  # a leaving endpoint gets no task 2 s after the list names it
-RENEWAL_WAIT_S = 0.3  # leaves two more tries within a lease of 1 s
-END_POLL_S = 0.025  # while an endpoint keeps ends whose jobs are open, it answers at once
+# An endpoint must get no task from 2 s after the list shows it as leaving.
+DIRECTORY_POLL_INTERVAL_S = 0.7
+RENEWAL_WAIT_S = 0.3  # leaves time for two more attempts within a lease of 1 s
+# While an endpoint remembers ends of runs whose jobs are open, it answers renewals at once.
+END_POLL_INTERVAL_S = 0.025
 RETRY_PAUSE_S = 0.05
-MEETING_S = 0.4  # endpoints answer in some 4 ms, those that are cut off never
-ORPHAN_GRACE_S = 0.2  # in which entry daemons hand unfinished jobs in again
-# An entry's silence of 1 s, a renewal's wait and a margin: a holder that is cut off from an
-# endpoint has dropped by then the jobs of entries on the other side, which may have handed them in
-# elsewhere.
-SETTLED_SILENCE_S = 1.4
+FIRST_CONTACT_TIMEOUT_S = 0.4  # reachable endpoints answer within some 4 ms
+ORPHAN_GRACE_S = 0.2  # time in which entry daemons submit unfinished jobs again
+# 1 s without a message from an entry daemon, a renewal's wait and a margin. A holder that is cut
+# off from an endpoint has by then dropped the jobs of entry daemons on the other side of the
+# partition, which may have submitted them to another holder.
+UNREACHABLE_GRACE_S = 1.4
 UNLISTED_GRACE_S = 2.5  # after an outage the platform's list is complete within 2 s
-STALL_HUNDREDTHS = 5  # of the expected run time; progress is told in hundredths of the real one
-SHORTEST_STALL_S = 0.6
-UNLISTED_END = 0  # endpoints count the ends that they list from 1
+# Share of the expected run time; endpoints report progress in hundredths of the real run time.
+STALL_LIMIT_PERCENT = 5
+MIN_STALL_LIMIT_S = 0.6
+UNLISTED_END_NUMBER = 0  # endpoints number the ends that they list from 1
 
 logger = Logger(__name__)
 
@@ -51,10 +54,12 @@
 class EndpointGroup:
     """The endpoints of a group under one tenure.
 
-    :param covers: tells whether an endpoint belongs to the group.
-    :param on_end: called with each end of a run that is news, before it is applied to its task.
-    :param on_final: called with a job whose outcome an end has decided.
-    :ivar changed: set whenever room, trust or tasks may have changed; replaced by who waits.
+    :param is_in_group: returns whether an endpoint belongs to the group.
+    :param on_end: called with each end of a run that was not known before, before the end is
+        applied to its task.
+    :param on_final: called with a job whose outcome has been decided by the end of a run.
+    :ivar changed: set whenever free resources, quarantines or tasks may have changed; the coroutine
+        that waits for it replaces it by a new event.
     """
 
     def __init__(
@@ -64,52 +69,52 @@
         known_list: EndpointList,
         job_table: JobTable,
         model: RunTimeModel,
-        covers: Callable[[EndpointInfo], bool],
+        is_in_group: Callable[[EndpointInfo], bool],
         on_end: Callable[[EndpointState, EndedRun], None],
         on_final: Callable[[Job], None],
     ) -> None:
         self.endpoints: dict[EndpointInstance, EndpointState] = {}
         self.changed = Event()
-        self.has_list = False
+        self.has_read_list = False
         self._tenure = tenure
         self._clock = tenure.clock
         self._directory = directory
         self._known_list = known_list
         self._job_table = job_table
         self._model = model
-        self._covers = covers
+        self._is_in_group = is_in_group
         self._on_end = on_end
         self._on_final = on_final
-        self._calls: dict[EndpointInstance, EndpointCalls] = {}
+        self._clients: dict[EndpointInstance, EndpointClient] = {}
         self._wakeups: dict[EndpointInstance, Event] = {}
         self._missing_since_s: dict[EndpointInstance, float] = {}
         self._orphan_ends: list[tuple[EndpointState, int]] = []
-        self._listed_s = tenure.began_s
+        self._list_read_s = tenure.began_s
 
     async def follow_directory(self) -> None:
-        """Keeps the list of endpoints up to date until cancelled."""
+        """Reads the list of endpoints periodically until cancelled."""
         if self._known_list.read_s:
-            self._take_directory(self._known_list.info)
+            self._apply_directory(self._known_list.endpoints)
         while True:
             try:
-                info = await self._directory.fetch()
-                self._known_list.update(info, self._clock.now_s())
-                self._take_directory(info)
+                endpoints = await self._directory.fetch()
+                self._known_list.update(endpoints, self._clock.now_s())
+                self._apply_directory(endpoints)
             except StoreUnavailableError as error:
-                logger.debug("the list of endpoints is not available: {}", error.message)
-            with move_on_after(DIRECTORY_INTERVAL_S):
-                await sleep(DIRECTORY_INTERVAL_S if self.has_list else RETRY_PAUSE_S)
+                logger.debug("the list of endpoints is unavailable: {}", error.message)
+            with move_on_after(DIRECTORY_POLL_INTERVAL_S):
+                await sleep(DIRECTORY_POLL_INTERVAL_S if self.has_read_list else RETRY_PAUSE_S)
 
-    def _take_directory(self, listed: tuple[EndpointInfo, ...]) -> None:
+    def _apply_directory(self, listed: tuple[EndpointInfo, ...]) -> None:
         now_s = self._clock.now_s()
-        was_away = now_s - self._listed_s > 2 * DIRECTORY_INTERVAL_S + 1
-        self._listed_s = now_s
-        lives = {info.instance: info for info in listed if self._covers(info)}
-        for instance, info in lives.items():
+        was_unavailable = now_s - self._list_read_s > 2 * DIRECTORY_POLL_INTERVAL_S + 1
+        self._list_read_s = now_s
+        info_by_instance = {info.instance: info for info in listed if self._is_in_group(info)}
+        for instance, info in info_by_instance.items():
             self._missing_since_s.pop(instance, None)
             endpoint = self.endpoints.get(instance)
             if endpoint is None:
-                self._meet(info)
+                self._add_endpoint(info)
                 continue
             if info.leaving and not endpoint.info.leaving:
                 logger.info(
@@ -117,67 +122,68 @@
                 )
             endpoint.info = info
             endpoint.is_listed = True
-        grace_s = UNLISTED_GRACE_S if was_away else 0.0
+        grace_s = UNLISTED_GRACE_S if was_unavailable else 0.0
         for instance, endpoint in self.endpoints.items():
-            if instance not in lives:
+            if instance not in info_by_instance:
                 since_s = self._missing_since_s.setdefault(instance, now_s + grace_s)
                 if now_s >= since_s:
                     endpoint.is_listed = False
-        self.has_list = True
+        self.has_read_list = True
         self.changed.set()
 
-    def _meet(self, info: EndpointInfo) -> None:
+    def _add_endpoint(self, info: EndpointInfo) -> None:
         endpoint = EndpointState(info)
         self.endpoints[info.instance] = endpoint
-        self._calls[info.instance] = self._directory.connect(info)
+        self._clients[info.instance] = self._directory.connect(info)
         self._wakeups[info.instance] = Event()
-        self._tenure.spawn(self._follow_endpoint, endpoint)
+        self._tenure.spawn(self._poll_endpoint, endpoint)
 
-    async def _follow_endpoint(self, endpoint: EndpointState) -> None:
+    async def _poll_endpoint(self, endpoint: EndpointState) -> None:
         instance = endpoint.info.instance
-        calls = self._calls[instance]
+        client = self._clients[instance]
         while instance in self.endpoints:
             if endpoint.is_idle:
                 if not endpoint.is_listed:
-                    self._forget(endpoint, "it is not listed and runs nothing")
+                    self._remove_endpoint(endpoint, "it is not listed and has no runs")
                     break
                 await self._wakeups[instance].wait()
             self._wakeups[instance] = Event()
-            wait_s = 0.0 if self._must_look_at_once(endpoint) else RENEWAL_WAIT_S
+            wait_s = 0.0 if self._should_poll_at_once(endpoint) else RENEWAL_WAIT_S
             acknowledged = endpoint.next_acknowledgement()
-            # A lease that each unanswered call may have extended would never be known to lapse.
-            is_doubtful = endpoint.missed_calls or endpoint.has_orphans
-            extend = bool(endpoint.present) and not is_doubtful
+            # If unanswered calls could extend the lease, this holder could never tell when it has
+            # lapsed.
+            should_let_lapse = endpoint.missed_calls or endpoint.has_orphans
+            extend = bool(endpoint.runs) and not should_let_lapse
             try:
-                report = await calls.renew(self._tenure.fence, acknowledged, wait_s, extend=extend)
+                report = await client.renew(self._tenure.fence, acknowledged, wait_s, extend=extend)
             except FencedOffError:
                 self._tenure.end("an endpoint has a newer holder")
                 return
             except OtherInstanceError:
-                self._forget(endpoint, "another life answers at its address")
+                self._remove_endpoint(endpoint, "another instance answers at its address")
                 return
             except EndpointCallError as error:
-                self._note_missed(endpoint, calls, error)
+                self._note_missed_call(endpoint, client, error)
                 await sleep(RETRY_PAUSE_S)
                 continue
             if report.born_ms != instance.born_ms and report.born_ms and instance.born_ms:
-                self._forget(endpoint, "it was started anew")
+                self._remove_endpoint(endpoint, "its process was restarted")
                 return
-            self._take_report(endpoint, report)
-            await self._settle_uncertain(endpoint, calls)
+            self._apply_report(endpoint, report)
+            await self._stop_uncertain_runs(endpoint, client)
             if endpoint.ends:
-                with move_on_after(END_POLL_S):
+                with move_on_after(END_POLL_INTERVAL_S):
                     await self._wakeups[instance].wait()
 
-    def _must_look_at_once(self, endpoint: EndpointState) -> bool:
+    def _should_poll_at_once(self, endpoint: EndpointState) -> bool:
         return (
             not endpoint.is_contacted
             or bool(endpoint.ends or endpoint.missed_calls)
-            or any(run.is_uncertain for run in endpoint.present.values())
+            or any(run.is_uncertain for run in endpoint.runs.values())
         )
 
-    def _note_missed(
-        self, endpoint: EndpointState, calls: EndpointCalls, error: EndpointCallError
+    def _note_missed_call(
+        self, endpoint: EndpointState, client: EndpointClient, error: EndpointCallError
     ) -> None:
         now_s = self._clock.now_s()
         if not endpoint.missed_calls:
@@ -187,24 +193,24 @@
                 extra=self._tenure.extra(endpoint=endpoint.info.instance.endpoint_id),
             )
         endpoint.missed_calls += 1
-        lapsed_s = max(calls.lease_end_s(), endpoint.heard_s + SETTLED_SILENCE_S)
-        if endpoint.present and now_s > lapsed_s:
-            self._lapse_all(endpoint)
+        lapsed_s = max(client.lease_end_s(), endpoint.last_answer_s + UNREACHABLE_GRACE_S)
+        if endpoint.runs and now_s > lapsed_s:
+            self._requeue_all_tasks(endpoint)
 
-    def _lapse_all(self, endpoint: EndpointState) -> None:
-        """Lets the tasks of an endpoint wait again whose leases have certainly lapsed."""
-        for name, run in list(endpoint.present):
+    def _requeue_all_tasks(self, endpoint: EndpointState) -> None:
+        """Requeues all tasks of an endpoint whose lease has certainly lapsed."""
+        for name, run in list(endpoint.runs):
             self._drop_run(endpoint, name, run, "its lease has lapsed")
         self.changed.set()
 
     def _drop_run(self, endpoint: EndpointState, name: TaskName, run: int, reason: str) -> None:
-        endpoint.vacate(name, run)
+        endpoint.remove_run(name, run)
         task = self._job_table.find_task(name)
         if task is None or task.instance != endpoint.info.instance or task.run != run:
             return
         if task.status in ACTIVE_STATUSES:
             logger.info(
-                "task waits again: {}",
+                "task requeued: {}",
                 reason,
                 extra=self._tenure.extra(
                     job=name.job_id,
@@ -215,20 +221,20 @@
             )
             self._job_table.note_not_running(task)
 
-    def _forget(self, endpoint: EndpointState, reason: str) -> None:
+    def _remove_endpoint(self, endpoint: EndpointState, reason: str) -> None:
         instance = endpoint.info.instance
         logger.info(
-            "endpoint forgotten: {}",
+            "endpoint removed: {}",
             reason,
             extra=self._tenure.extra(endpoint=instance.endpoint_id),
         )
-        self._lapse_all(endpoint)
-        self._tenure.spawn(self._calls[instance].close)
+        self._requeue_all_tasks(endpoint)
+        self._tenure.spawn(self._clients[instance].close)
         self.endpoints.pop(instance, None)
         self._model.forget(instance.endpoint_id)
         self._missing_since_s.pop(instance, None)
 
-    def _take_report(self, endpoint: EndpointState, report: EndpointReport) -> None:
+    def _apply_report(self, endpoint: EndpointState, report: EndpointReport) -> None:
         now_s = self._clock.now_s()
         if endpoint.missed_calls:
             logger.info(
@@ -236,33 +242,35 @@
                 extra=self._tenure.extra(endpoint=endpoint.info.instance.endpoint_id),
             )
         endpoint.missed_calls = 0
-        endpoint.heard_s = now_s
+        endpoint.last_answer_s = now_s
         for end in report.ended:
-            if endpoint.take_end(end):
-                self._take_end(endpoint, end, now_s)
-        shown = set()
+            if endpoint.add_end(end):
+                self._handle_end(endpoint, end, now_s)
+        reported = set()
         for running in report.running:
-            shown.add((running.name, running.run))
-            self._take_running(endpoint, running, now_s)
-        for (name, run), present in list(endpoint.present.items()):
-            if (name, run) not in shown and present.is_over(report.sent_s):
-                self._drop_run(endpoint, name, run, "its endpoint does not run it")
+            reported.add((running.name, running.run))
+            self._apply_running_task(endpoint, running, now_s)
+        for (name, run), endpoint_run in list(endpoint.runs.items()):
+            if (name, run) not in reported and endpoint_run.is_gone(report.sent_s):
+                self._drop_run(endpoint, name, run, "its endpoint does not report the run")
         if endpoint.contacted_s is None:
             endpoint.contacted_s = now_s
         self.changed.set()
 
-    def _take_running(self, endpoint: EndpointState, running: RunningTask, now_s: float) -> None:
+    def _apply_running_task(
+        self, endpoint: EndpointState, running: RunningTask, now_s: float
+    ) -> None:
         instance = endpoint.info.instance
         task = self._job_table.find_task(running.name)
-        present = endpoint.present.get((running.name, running.run))
-        if present is None:
+        endpoint_run = endpoint.runs.get((running.name, running.run))
+        if endpoint_run is None:
             needs = task.step.needs if task is not None else endpoint.info.capacity
-            present = endpoint.occupy(running.name, running.run, needs)
-        present.answered_s = min(present.answered_s, now_s)
-        present.is_uncertain = False
-        present.is_orphan = task is None and running.name.job_id not in self._job_table.jobs
-        if present.is_orphan and self._may_have_orphans(endpoint, now_s):
-            return  # its job may be handed in again
+            endpoint_run = endpoint.add_run(running.name, running.run, needs)
+        endpoint_run.confirmed_s = min(endpoint_run.confirmed_s, now_s)
+        endpoint_run.is_uncertain = False
+        endpoint_run.is_orphan = task is None and running.name.job_id not in self._job_table.jobs
+        if endpoint_run.is_orphan and self._may_have_orphans(endpoint, now_s):
+            return  # its job may be submitted again
         if task is None or not self._may_adopt(task, instance, running.run):
             self.stop_soon(endpoint, running.name, running.run)
             return
@@ -279,25 +287,25 @@
             return True
         return task.status is TaskStatus.WAITING and run >= task.run
 
-    def _take_end(self, endpoint: EndpointState, end: EndedRun, now_s: float) -> None:
-        endpoint.vacate(end.name, end.run)
+    def _handle_end(self, endpoint: EndpointState, end: EndedRun, now_s: float) -> None:
+        endpoint.remove_run(end.name, end.run)
         self._tenure.telemetry.count("runs_ended", kind=end.kind.value)
         task = self._job_table.find_task(end.name)
         job = self._job_table.jobs.get(end.name.job_id)
         if job is None and self._may_have_orphans(endpoint, now_s):
             self._orphan_ends.append((endpoint, end.number))
         elif job is None or not job.spec.is_durable:
-            endpoint.release(end.number)
+            endpoint.release_end(end.number)
         else:
             self._on_end(endpoint, end)
         if task is None or job is None:
             return
-        is_own = task.instance == endpoint.info.instance and task.run == end.run
+        is_current_run = task.instance == endpoint.info.instance and task.run == end.run
         if end.kind is EndKind.FAILED:
-            self._note_failed(endpoint, task, end, now_s)
+            self._record_failed_run(endpoint, task, end, now_s)
         elif end.kind is EndKind.DONE:
             endpoint.note_success()
-            if is_own and task.status in ACTIVE_STATUSES:
+            if is_current_run and task.status in ACTIVE_STATUSES:
                 self._model.learn(
                     job.spec.terms.queue,
                     task.step.estimate_s,
@@ -306,7 +314,7 @@
                 )
         elif end.kind is not EndKind.STOPPED:
             logger.info(
-                "run ended as {}",
+                "run ended with {}",
                 end.kind.value,
                 extra=self._tenure.extra(job=end.name.job_id, task=list(end.name[1:]), run=end.run),
             )
@@ -314,7 +322,7 @@
         if job.is_final:
             self._on_final(job)
 
-    def _note_failed(
+    def _record_failed_run(
         self, endpoint: EndpointState, task: Task, end: EndedRun, now_s: float
     ) -> None:
         instance = endpoint.info.instance
@@ -334,42 +342,43 @@
             ),
         )
 
-    async def _settle_uncertain(self, endpoint: EndpointState, calls: EndpointCalls) -> None:
-        """Stops the runs whose start was not answered and that the endpoint does not show."""
-        for (name, run), present in list(endpoint.present.items()):
-            if present.is_uncertain and present.stop_answered_s == inf:
+    async def _stop_uncertain_runs(self, endpoint: EndpointState, client: EndpointClient) -> None:
+        """Stops the runs whose start was not answered and that the endpoint did not report."""
+        for (name, run), endpoint_run in list(endpoint.runs.items()):
+            if endpoint_run.is_uncertain and endpoint_run.stop_confirmed_s == inf:
                 try:
-                    await calls.stop(name, run, self._tenure.fence)
-                    present.stop_answered_s = self._clock.now_s()
+                    await client.stop(name, run, self._tenure.fence)
+                    endpoint_run.stop_confirmed_s = self._clock.now_s()
                 except FencedOffError:
                     self._tenure.end("an endpoint has a newer holder")
                 except EndpointCallError as error:
-                    logger.debug("a stop was not answered: {}", error.message)
+                    logger.debug("a request to stop a run was not answered: {}", error.message)
 
     def stop_soon(self, endpoint: EndpointState, name: TaskName, run: int) -> None:
-        """Begins to stop a run."""
+        """Starts to stop a run in the background."""
         self._tenure.spawn(self._stop, endpoint, name, run)
 
     async def _stop(self, endpoint: EndpointState, name: TaskName, run: int) -> None:
-        calls = self._calls[endpoint.info.instance]
+        client = self._clients[endpoint.info.instance]
         try:
-            await calls.stop(name, run, self._tenure.fence)
+            await client.stop(name, run, self._tenure.fence)
         except FencedOffError:
             self._tenure.end("an endpoint has a newer holder")
             return
         except EndpointCallError as error:
-            logger.debug("a stop was not answered: {}", error.message)  # the next report shows it
+            # The next report shows whether the run goes on.
+            logger.debug("a request to stop a run was not answered: {}", error.message)
             return
-        present = endpoint.present.get((name, run))
-        if present is not None:
-            present.stop_answered_s = min(present.stop_answered_s, self._clock.now_s())
+        endpoint_run = endpoint.runs.get((name, run))
+        if endpoint_run is not None:
+            endpoint_run.stop_confirmed_s = min(endpoint_run.stop_confirmed_s, self._clock.now_s())
         self._wakeups[endpoint.info.instance].set()
 
-    def order(self, task: Task, endpoint: EndpointState) -> None:
-        """Begins to start a task."""
+    def order_start(self, task: Task, endpoint: EndpointState) -> None:
+        """Assigns a task to an endpoint and sends the order to start it in the background."""
         now_s = self._clock.now_s()
         self._job_table.note_ordered(task, endpoint.info.instance, now_s)
-        endpoint.occupy(task.name, task.run, task.step.needs)
+        endpoint.add_run(task.name, task.run, task.step.needs)
         payload = self._job_table.jobs[task.name.job_id].spec.payload
         order = StartOrder(task.name, task.run, payload, self._tenure.fence, task.saved)
         self._tenure.spawn(self._start, task, endpoint, order)
@@ -377,13 +386,13 @@
     async def _start(self, task: Task, endpoint: EndpointState, order: StartOrder) -> None:
         instance, run = endpoint.info.instance, order.run
         self._wakeups[instance].set()
-        outcome = await self._calls[instance].start(order)
+        outcome = await self._clients[instance].start(order)
         self._tenure.telemetry.count("task_starts", outcome=outcome.value)
         now_s = self._clock.now_s()
-        present = endpoint.present.get((task.name, run))
+        endpoint_run = endpoint.runs.get((task.name, run))
         if outcome is StartOutcome.STARTED:
-            if present is not None:
-                present.answered_s = min(present.answered_s, now_s)
+            if endpoint_run is not None:
+                endpoint_run.confirmed_s = min(endpoint_run.confirmed_s, now_s)
                 is_current = task.instance == instance and task.run == run
                 if is_current and task.status is TaskStatus.STARTING:
                     task.status = TaskStatus.RUNNING
@@ -392,7 +401,7 @@
             self._wakeups[instance].set()
             return
         logger.info(
-            "start not confirmed: {}",
+            "start of a run not confirmed: {}",
             outcome.value,
             extra=self._tenure.extra(
                 job=task.name.job_id,
@@ -401,50 +410,53 @@
                 endpoint=instance.endpoint_id,
             ),
         )
-        self._take_unstarted(task, endpoint, run, outcome, present, now_s)
+        self._handle_unconfirmed_start(task, endpoint, run, outcome, endpoint_run, now_s)
 
-    def _take_unstarted(
+    def _handle_unconfirmed_start(
         self,
         task: Task,
         endpoint: EndpointState,
         run: int,
         outcome: StartOutcome,
-        present: PresentRun | None,
+        endpoint_run: EndpointRun | None,
         now_s: float,
     ) -> None:
         if outcome is StartOutcome.FENCED_OFF:
             self._tenure.end("an endpoint has a newer holder")
             return
         if outcome is StartOutcome.UNKNOWN:
-            if present is not None and present.answered_s == inf:
-                present.is_uncertain = True
+            if endpoint_run is not None and endpoint_run.confirmed_s == inf:
+                endpoint_run.is_uncertain = True
                 if task.instance == endpoint.info.instance and task.run == run:
                     task.status = TaskStatus.UNCERTAIN
             self._wakeups[endpoint.info.instance].set()
             return
-        if outcome is StartOutcome.OTHER_LIFE:
-            self._forget(endpoint, "another life answers at its address")
+        if outcome is StartOutcome.OTHER_INSTANCE:
+            self._remove_endpoint(endpoint, "another instance answers at its address")
             return
         if outcome is StartOutcome.INVALID:
-            self._take_rejected(task, endpoint, run, now_s)
+            self._handle_rejected_order(task, endpoint, run, now_s)
             return
         if outcome is StartOutcome.NO_ROOM:
             endpoint.note_no_room(now_s)
         elif outcome is not StartOutcome.RUN_TOO_OLD:
-            endpoint.close(now_s)
+            endpoint.quarantine(now_s)
         self._drop_run(endpoint, task.name, run, f"not started: {outcome.value}")
         self.changed.set()
 
-    def _take_rejected(self, task: Task, endpoint: EndpointState, run: int, now_s: float) -> None:
-        """Counts an order that an endpoint can't make sense of as a failed run.
+    def _handle_rejected_order(
+        self, task: Task, endpoint: EndpointState, run: int, now_s: float
+    ) -> None:
+        """Counts an order that an endpoint rejects as invalid as a failed run.
 
-        The job's own content is the likely cause: elsewhere it would be rejected too, for ever.
+        The likely cause is the content of the job, so that every other endpoint would reject it
+        too, without an end.
         """
-        endpoint.vacate(task.name, run)
+        endpoint.remove_run(task.name, run)
         if self._job_table.find_task(task.name) is None:
             return
-        end = EndedRun(UNLISTED_END, task.name, run, EndKind.FAILED, "")
-        self._note_failed(endpoint, task, end, now_s)
+        end = EndedRun(UNLISTED_END_NUMBER, task.name, run, EndKind.FAILED, "")
+        self._record_failed_run(endpoint, task, end, now_s)
         self._job_table.note_end(task, end, endpoint.info.instance)
         job = self._job_table.jobs[task.name.job_id]
         if job.is_final:
@@ -452,51 +464,51 @@
         self.changed.set()
 
     def _may_have_orphans(self, endpoint: EndpointState, now_s: float) -> bool:
-        """Tells whether a former holder's jobs there may still be handed in again."""
+        """Returns whether jobs that a former holder ran on an endpoint may be submitted again."""
         return endpoint.contacted_s is None or now_s - endpoint.contacted_s < ORPHAN_GRACE_S
 
     def adopt_orphans(self, job: Job, now_s: float) -> None:
-        """Finds what a former holder has left of a job at the endpoints."""
+        """Applies the runs and ends of a former holder that endpoints have reported for a job."""
         for endpoint in self.endpoints.values():
             for end in list(endpoint.ends.values()):
                 if end.name.job_id == job.spec.job_id and not job.is_final:
                     task = self._job_table.find_task(end.name)
                     if task is not None:
                         self._job_table.note_end(task, end, endpoint.info.instance)
-            for name, run in list(endpoint.present):
+            for name, run in list(endpoint.runs):
                 task = self._job_table.find_task(name) if name.job_id == job.spec.job_id else None
                 if task is not None and self._may_adopt(task, endpoint.info.instance, run):
-                    endpoint.vacate(name, run)
-                    endpoint.occupy(name, run, task.step.needs).answered_s = now_s
+                    endpoint.remove_run(name, run)
+                    endpoint.add_run(name, run, task.step.needs).confirmed_s = now_s
                     self._job_table.note_running(task, endpoint.info.instance, run, now_s)
         if job.is_final:
             self._on_final(job)
 
     def release_orphan_ends(self, now_s: float) -> None:
-        """Lets endpoints forget ends of jobs that were not handed in again."""
-        left = []
+        """Lets endpoints forget the ends of jobs that were not submitted again in time."""
+        remaining = []
         for endpoint, number in self._orphan_ends:
             if self._may_have_orphans(endpoint, now_s):
-                left.append((endpoint, number))
+                remaining.append((endpoint, number))
             else:
-                endpoint.release(number)
-        self._orphan_ends = left
+                endpoint.release_end(number)
+        self._orphan_ends = remaining
 
-    def move_stalled(self, now_s: float) -> None:
-        """Stops tasks that make no progress, so that they start elsewhere."""
+    def move_stalled_runs(self, now_s: float) -> None:
+        """Stops runs that make no progress, so that their tasks start on other endpoints."""
         for endpoint in self.endpoints.values():
             if endpoint.missed_calls:
                 continue
-            for name, run in list(endpoint.present):
+            for name, run in list(endpoint.runs):
                 task = self._job_table.find_task(name)
                 if task is None or task.run != run or task.status is not TaskStatus.RUNNING:
                     continue
                 queue = self._job_table.jobs[name.job_id].spec.terms.queue
                 expected_s = self._model.expected_run_time_s(queue, task.step.estimate_s)
-                limit_s = max(SHORTEST_STALL_S, STALL_HUNDREDTHS * expected_s / 100)
+                limit_s = max(MIN_STALL_LIMIT_S, STALL_LIMIT_PERCENT * expected_s / 100)
                 if now_s - task.progressed_s > limit_s:
                     logger.info(
-                        "task makes no progress and is moved",
+                        "run stopped: no progress within the stall limit",
                         extra=self._tenure.extra(
                             job=name.job_id,
                             task=list(name[1:]),
@@ -509,22 +521,22 @@
                     task.progressed_s = now_s
                     self._tenure.telemetry.count("runs_moved")
                     self._tenure.telemetry.count("endpoint_closures", reason="stalled")
-                    endpoint.close(now_s)
+                    endpoint.quarantine(now_s)
                     self.stop_soon(endpoint, name, run)
 
     def has_contacted_endpoints(self, now_s: float) -> bool:
-        """Whether the endpoints of a new tenure have had the time to answer."""
-        if now_s - self._tenure.began_s > MEETING_S:
+        """Returns whether all endpoints have answered, or have had the time to, in this tenure."""
+        if now_s - self._tenure.began_s > FIRST_CONTACT_TIMEOUT_S:
             return True
-        return self.has_list and all(e.is_contacted for e in self.endpoints.values())
+        return self.has_read_list and all(e.is_contacted for e in self.endpoints.values())
 
     async def close(self) -> None:
         """Closes the connections to all endpoints."""
-        for calls in self._calls.values():
-            await calls.close()
+        for client in self._clients.values():
+            await client.close()
 
-    def stop_active(self, job: Job) -> None:
-        """Begins to stop all runs of a job."""
+    def stop_all_runs(self, job: Job) -> None:
+        """Starts to stop all runs of a job in the background."""
         for task in job.tasks.values():
             endpoint = self.endpoints.get(task.instance) if task.instance is not None else None
             if endpoint is not None and task.status in ACTIVE_STATUSES:
--- a/berylproxy/durable/holder.py
+++ b/berylproxy/durable/holder.py
@@ -13,7 +13,7 @@
     MAX_OPEN_JOBS,
     SHORTEST_RETRY_AFTER_S,
     TOO_LATE,
-    judge,
+    decide_admission,
 )
 from berylproxy.durable.best_effort import RUN_NUMBERS_PER_TENURE, Admission, BestEffortJobs, Wait
 from berylproxy.durable.contention import FENCES_PER_CLAIM
@@ -41,7 +41,7 @@
     StoredJob,
 )
 from berylproxy.durable.outcomes import OutcomeStore
-from berylproxy.durable.placement import place_waiting
+from berylproxy.durable.placement import place_waiting_tasks
 from berylproxy.durable.ports import (
     EndpointDirectory,
     JobStore,
@@ -353,7 +353,7 @@
             return SHORTEST_RETRY_AFTER_S
         if not self.group.has_contacted_endpoints(now_s):
             return None
-        return judge(
+        return decide_admission(
             draft, self.job_table.jobs.values(), self.group.endpoints.values(), self._model, now_s
         )
 
@@ -413,18 +413,18 @@
             await self.group.changed.wait()
             self.group.changed = Event()
             self._resolve_jobs()
-            place_waiting(
+            place_waiting_tasks(
                 self.job_table,
                 self.group.endpoints.values(),
                 self._model,
                 self._clock.now_s(),
-                self.group.order,
+                self.group.order_start,
                 self._context.remote_factor(),
             )
 
     def _resolve_jobs(self) -> None:
         """Lets tasks wait for a start once every endpoint that may run them was heard."""
-        if not self._unresolved or not self.group.has_list:
+        if not self._unresolved or not self.group.has_read_list:
             return
         now_s = self._clock.now_s()
         are_contacted = all(endpoint.is_contacted for endpoint in self.group.endpoints.values())
@@ -444,7 +444,7 @@
         if not job.spec.is_durable:
             self._best_effort_jobs.finish(job)
             return
-        self.group.stop_active(job)
+        self.group.stop_all_runs(job)
         job_id = job.spec.job_id
         if job_id not in self.job_table.jobs or self._outcomes.is_storing(job_id):
             return
@@ -464,7 +464,7 @@
             self._pauses.note_run()
             self._outcomes.store_old_progress(now_s)
             if not self._pauses.is_refreshing:
-                self.group.move_stalled(now_s)
+                self.group.move_stalled_runs(now_s)
                 self._best_effort_jobs.drop_unneeded(now_s, self._context.is_entry_alive)
             self.group.release_orphan_ends(now_s)
             if self._unresolved or any(True for _ in self.job_table.waiting_jobs()):
@@ -478,7 +478,7 @@
     def send_heartbeat(self) -> None:
         """Tells all daemons that this one is the holder."""
         endpoints = tuple(
-            instance.endpoint_id for instance, e in self.group.endpoints.items() if e.present
+            instance.endpoint_id for instance, e in self.group.endpoints.items() if e.runs
         )
         heartbeat = HolderHeartbeat(
             self.tenure.group, self.tenure.fence, endpoints, self.is_leaving
@@ -528,5 +528,5 @@
             return
         for job in kept:
             logger.info("job suspended", extra=self.tenure.extra(job=job.spec.job_id))
-            self.group.stop_active(job)
+            self.group.stop_all_runs(job)
         self.tenure.end(f"the store has not confirmed the claim for {age_s:.1f} s")
--- a/berylproxy/durable/models.py
+++ b/berylproxy/durable/models.py
@@ -6,7 +6,7 @@
 
 
 class JobState(StrEnum):
-    """How far a job has come; the last three are final."""
+    """The state of a job; the last three are final."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -30,8 +30,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Needs:
-    """What a task takes at its endpoint.
+class Resources:
+    """Amounts of an endpoint's resources: its capacity, or what a task needs.
 
     :param cpu_millicores: thousandths of a core.
     """
@@ -40,23 +40,23 @@
     memory_mb: int = 0
     accelerators: int = 0
 
-    def fits(self, room: "Needs") -> bool:
-        """Tells whether this fits into some room."""
+    def fits(self, available: "Resources") -> bool:
+        """Returns whether each amount is at most the available one."""
         return (
-            self.cpu_millicores <= room.cpu_millicores
-            and self.memory_mb <= room.memory_mb
-            and self.accelerators <= room.accelerators
+            self.cpu_millicores <= available.cpu_millicores
+            and self.memory_mb <= available.memory_mb
+            and self.accelerators <= available.accelerators
         )
 
-    def __add__(self, other: "Needs") -> "Needs":
-        return Needs(
+    def __add__(self, other: "Resources") -> "Resources":
+        return Resources(
             self.cpu_millicores + other.cpu_millicores,
             self.memory_mb + other.memory_mb,
             self.accelerators + other.accelerators,
         )
 
-    def __sub__(self, other: "Needs") -> "Needs":
-        return Needs(
+    def __sub__(self, other: "Resources") -> "Resources":
+        return Resources(
             self.cpu_millicores - other.cpu_millicores,
             self.memory_mb - other.memory_mb,
             self.accelerators - other.accelerators,
@@ -67,17 +67,17 @@
 class StepSpec:
     """Tasks of one kind within a job.
 
-    :param estimate_s: the caller's rough run time of a task; 0 if not given.
+    :param estimate_s: the caller's rough estimate of a task's run time; 0 if not given.
     :param after: numbers of the steps whose tasks must all be done first.
     :param required_label: label that the endpoint must have; empty for none.
     :param preferred_rack: rack where the data is; empty for none.
     :param stays_in_rack: whether its tasks take longer when they run in more than one rack.
-    :param max_per_endpoint: most tasks of the step on one endpoint; 0 for no bound.
-    :param saves_progress: whether a run can be taken up where an earlier one was saved.
+    :param max_per_endpoint: largest number of tasks of the step on one endpoint; 0 for no limit.
+    :param saves_progress: whether a run can continue from the checkpoint of an earlier one.
     """
 
     count: int
-    needs: Needs
+    needs: Resources
     estimate_s: float = 0.0
     after: tuple[int, ...] = ()
     required_label: str = ""
@@ -89,13 +89,14 @@
 
 @dataclass(frozen=True, slots=True)
 class QueueTerms:
-    """What the configuration says of a job's queue at the time of its acceptance.
+    """The settings of a job's queue at the time when the job was accepted.
 
-    :param service: whose endpoints run the tasks.
-    :param priority: 0 goes first.
-    :param max_attempts: failed runs of one task after which the job has failed.
-    :param objective_factor: the job's objective is this times its longest chain of work ...
-    :param objective_s: ... and this time on top.
+    The job's objective, the time within which it should be completed, is ``objective_factor`` times
+    the run time of its longest chain of steps, plus ``objective_s``.
+
+    :param service: the service whose endpoints run the tasks.
+    :param priority: jobs with 0 go first.
+    :param max_attempts: number of failed runs of one task after which the job fails.
     """
 
     queue: str
@@ -108,11 +109,11 @@
 
 @dataclass(frozen=True, slots=True)
 class JobSpec:
-    """A job as it was handed in.
+    """A job as it was submitted.
 
-    :param payload: text that goes to the endpoints with each task.
-    :param is_kept: whether it is stored and outlives its caller's request; one that is not ends
-        with the request.
+    :param payload: text that is sent to the endpoints with each task.
+    :param is_kept: whether the job is durable, that is, stored and independent of its caller's
+        request; a best-effort job ends with the request.
     """
 
     job_id: str
@@ -128,7 +129,11 @@
 
 
 class TaskName(NamedTuple):
-    """Names a task over all jobs."""
+    """Identifies a task among the tasks of all jobs.
+
+    :param step: number of the task's step in the job.
+    :param index: number of the task in the step.
+    """
 
     job_id: str
     step: int
@@ -136,9 +141,9 @@
 
 
 class EndpointInstance(NamedTuple):
-    """One life of an endpoint process: the platform may use an endpoint's id again.
+    """One run of an endpoint process; the platform may reuse the identifier of an endpoint.
 
-    :param born_ms: Unix time of its start; 0 if it doesn't tell.
+    :param born_ms: Unix time of the process's start in milliseconds; 0 if unknown.
     """
 
     endpoint_id: str
@@ -147,11 +152,11 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointInfo:
-    """What the platform's list says of an endpoint.
+    """An entry of the platform's list of endpoints.
 
     :param address: ``host:port``.
-    :param leaving: whether it takes no new work because it is about to go.
-    :param rack: where it stands; empty if unknown.
+    :param leaving: whether the endpoint is about to be removed and must get no new tasks.
+    :param rack: the rack of the endpoint's VM; empty if unknown.
     :param kind: the VM's hardware kind; empty if unknown.
     """
 
@@ -159,7 +164,7 @@
     service: str
     address: str
     failure_domain: str
-    capacity: Needs
+    capacity: Resources
     leaving: bool = False
     labels: frozenset[str] = frozenset()
     rack: str = ""
@@ -168,9 +173,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RunningTask:
-    """A run that an endpoint reports as present.
+    """A run that an endpoint reports as active.
 
-    :param saved: what the run last saved; empty for nothing.
+    :param run: number of the run.
+    :param saved: the run's last checkpoint; empty if there is none.
     """
 
     name: TaskName
@@ -181,9 +187,11 @@
 
 @dataclass(frozen=True, slots=True)
 class EndedRun:
-    """The end of a run, as the endpoint keeps it until it is acknowledged.
+    """The end of a run, which the endpoint remembers until the holder acknowledges it.
 
-    :param number: counts the ends of one life of the endpoint from 1.
+    :param number: sequence number of the end within one instance of the endpoint, from 1.
+    :param run: number of the run.
+    :param saved: the run's last checkpoint; empty if there is none.
     """
 
     number: int
@@ -197,7 +205,9 @@
 class EndpointReport:
     """An endpoint's answer to a renewal of its lease.
 
-    :param sent_s: when the question was sent; what happened later may be missing.
+    :param born_ms: Unix time of the endpoint process's start in milliseconds; 0 if unknown.
+    :param sent_s: monotonic time at which the renewal was sent; later events may be missing.
+    :param unreadable: number of rows that could not be decoded.
     """
 
     born_ms: int
@@ -209,9 +219,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Progress:
-    """What is stored of an unfinished job besides its specification.
+    """The stored progress of an unfinished job.
 
-    :param done: tasks that have ended well, as (step, index).
+    :param done: tasks that are done, as (step, index).
     :param failures: failed runs as (step, index, run).
     """
 
@@ -221,9 +231,9 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredJob:
-    """An unfinished job as the store holds it.
+    """An unfinished job as it is stored.
 
-    :param accepted_unix_s: time of day of its acceptance.
+    :param accepted_unix_s: Unix time of the job's acceptance.
     """
 
     spec: JobSpec
--- a/berylproxy/durable/outcomes.py
+++ b/berylproxy/durable/outcomes.py
@@ -124,7 +124,7 @@
                 await sleep(RETRY_PAUSE_S)
         self._job_table.close(job)
         for kept in self._kept_ends.pop(job_id, ()):
-            kept.endpoint.release(kept.number)
+            kept.endpoint.release_end(kept.number)
         self._waiting.pop(job_id).set()
 
     def store_old_progress(self, now_s: float) -> None:
@@ -159,4 +159,4 @@
         if job_id in self._kept_ends:
             self._kept_ends[job_id] = left
         for end in kept:
-            end.endpoint.release(end.number)
+            end.endpoint.release_end(end.number)
--- a/berylproxy/durable/placement.py
+++ b/berylproxy/durable/placement.py
@@ -1,8 +1,8 @@
-"""Which waiting task starts next, and where. Pure: no clock, no sockets.
+"""Decides which waiting task starts next, and on which endpoint, without a clock or sockets.
 
-Answers a load of parallel jobs of tasks that each take a large part of an endpoint, near or above
-the capacity: jobs that can still meet their objective go first, the tighter and smaller ones before
-the others, and slow endpoints get only what they can end in time.
+Made for loads near or above the capacity, of parallel jobs whose tasks each take a large part of an
+endpoint: jobs that can still meet their objective go first, the tighter and smaller ones before
+the others, and slow endpoints get only tasks that they can end in time.
 """
 
 from collections import Counter
@@ -15,37 +15,47 @@
 from berylproxy.durable.job_table import ACTIVE_STATUSES, Job, JobTable, Task
 from berylproxy.durable.models import StepSpec
 
-LATE_FACTOR = 3.0  # up to that many objectives an answer is late; after that it is worth nothing
-DEFAULT_REMOTE_FACTOR = 2.0  # the larger one of the installations known
-FIT_WEIGHT_S = 0.02  # a third of a short task's time for a placement that leaves no splinter
-FAILED_HERE_FACTOR = 10.0  # run times that a task counts at an endpoint where it failed before
-WORK_WEIGHT = 0.3  # seconds of slack for a second of a mean endpoint: small jobs let more in
-RUN_TIME_MARGIN = 1.2  # on expected run times, whose estimates scatter by a factor like that
-MAX_PASSED_JOBS = 24  # jobs without a place, after which a round ends: more would delay the orders
+# An answer is late up to this multiple of the job's objective, and worthless after it.
+LATE_FACTOR = 3.0
+DEFAULT_REMOTE_FACTOR = 2.0  # the larger one of the known installations
+# Cost of an endpoint that the task would leave wholly unused; a third of a short task's run time.
+# It favours placements that leave no remainder too small for another task.
+FIT_WEIGHT_S = 0.02
+# A task's expected run time is added this many times on an endpoint where the task failed before.
+FAILED_HERE_FACTOR = 10.0
+# Seconds of slack that a second of waiting work on a mean endpoint counts as: small jobs go first,
+# since more of them fit.
+WORK_WEIGHT = 0.3
+RUN_TIME_MARGIN = 1.2  # expected run times deviate by about this factor
+# A round ends after this many jobs without a fitting endpoint; more would delay the start orders.
+MAX_SKIPPED_JOBS = 24
 
 
 def objective_s(job: Job) -> float:
-    """Returns the time in which a job should be completed."""
+    """Returns the time within which a job should be completed, from its acceptance."""
     terms = job.spec.terms
     return terms.objective_factor * job.expected_s + terms.objective_s
 
 
-def last_useful_s(job: Job) -> float:
-    """Returns the time after which a job's answer is of no use."""
+def latest_useful_end_s(job: Job) -> float:
+    """Returns the monotonic time after which a job's answer is worthless to its caller."""
     return min(job.accepted_s + LATE_FACTOR * objective_s(job), job.deadline_s)
 
 
-def is_hopeless(job: Job, now_s: float) -> bool:
-    """Tells whether a job that waits for room can't be of use to its caller any more.
+def is_too_late(job: Job, now_s: float) -> bool:
+    """Returns whether a job that waits for resources can no longer end in time for its caller.
 
-    A job whose tasks all run is let go on: it takes no room from others that it does not have.
+    A job whose tasks all run may go on, since it needs no resources besides those that it has.
     """
-    lacks_room = bool(job.waiting) or not job.started
-    return lacks_room and now_s + job.expected_s > last_useful_s(job)
+    lacks_resources = bool(job.waiting) or not job.started
+    return lacks_resources and now_s + job.expected_s > latest_useful_end_s(job)
 
 
 def rank_job(job: Job, now_s: float, endpoint_cores: float) -> tuple[int, float, float]:
-    """Orders jobs: on time before late before hopeless; by slack and size, late ones by size.
+    """Returns a sort key for waiting jobs; the smallest goes first.
+
+    Jobs that can meet their objective go first, by slack and size; then jobs that will be late, by
+    size; then jobs that can't end in time, by age.
 
     :param endpoint_cores: cores of a mean endpoint.
     """
@@ -53,78 +63,83 @@
     slack_s = objective_s(job) - age_s - job.expected_s
     if slack_s >= 0:
         return 0, slack_s + WORK_WEIGHT * _waiting_work_s(job, endpoint_cores), job.accepted_s
-    if last_useful_s(job) - now_s >= job.expected_s:
+    if latest_useful_end_s(job) - now_s >= job.expected_s:
         return 1, _waiting_work_s(job, endpoint_cores), job.accepted_s
     return 2, job.accepted_s, job.accepted_s
 
 
 @dataclass(frozen=True, slots=True)
 class NearRack:
-    """Where a task runs fastest.
+    """The rack where a task runs fastest.
 
-    :param rack: empty if all racks are the same to it.
-    :param remote_factor: its run time elsewhere, against that near.
+    :param rack: empty if the task runs equally fast in all racks.
+    :param remote_factor: ratio of the task's run time in other racks to that in this rack.
     """
 
     rack: str
     remote_factor: float
 
 
-def place_waiting(
+def place_waiting_tasks(
     job_table: JobTable,
     endpoints: Iterable[EndpointState],
     model: RunTimeModel,
     now_s: float,
-    order: Callable[[Task, EndpointState], None],
+    order_start: Callable[[Task, EndpointState], None],
     remote_factor: float = DEFAULT_REMOTE_FACTOR,
 ) -> None:
-    """Gives the waiting tasks to endpoints with room.
+    """Assigns the waiting tasks to endpoints with enough free resources.
 
-    :param order: called for each placement; it must count the room as taken.
-    :param remote_factor: run time of a task away from its data or its step's rack, against near.
+    :param order_start: called for each placement; it must count the task's resources as used.
+    :param remote_factor: ratio of a task's run time outside the rack of its data or of its step to
+        the run time inside.
     """
-    waiting = list(job_table.waiting_jobs())
-    usable = [endpoint for endpoint in endpoints if endpoint.may_start(now_s)] if waiting else []
+    waiting_jobs = list(job_table.waiting_jobs())
+    usable = (
+        [endpoint for endpoint in endpoints if endpoint.may_start(now_s)] if waiting_jobs else []
+    )
     if not usable:
         return
     cores = sum(endpoint.info.capacity.cpu_millicores for endpoint in usable) / len(usable) / 1000
-    jobs = sorted(waiting, key=lambda job: rank_job(job, now_s, cores))
-    widest = max(endpoint.free_millicores for endpoint in usable)
-    passed = 0
+    jobs = sorted(waiting_jobs, key=lambda job: rank_job(job, now_s, cores))
+    max_free_millicores = max(endpoint.free_millicores for endpoint in usable)
+    skipped = 0
     for job in jobs:
-        if widest <= 0 or passed >= MAX_PASSED_JOBS:
+        if max_free_millicores <= 0 or skipped >= MAX_SKIPPED_JOBS:
             return
         for task in list(job.waiting):
-            if not any(_could_take(endpoint, task.step) for endpoint in usable):
-                break  # it takes no part in the round, whose passed jobs wait for room
-            if task.step.needs.cpu_millicores > widest:
-                passed += 1
+            if not any(_could_ever_fit(endpoint, task.step) for endpoint in usable):
+                # Not a skipped job: only jobs that wait for free resources count for the limit.
+                break
+            if task.step.needs.cpu_millicores > max_free_millicores:
+                skipped += 1
                 break
             near = NearRack(choose_rack(job, task, usable, model), remote_factor)
             endpoint = choose_endpoint(job, task, usable, model, now_s, near)
             if endpoint is None:
-                passed += 1
+                skipped += 1
                 break
-            was_widest = endpoint.free_millicores == widest
-            order(task, endpoint)
-            if was_widest:
-                widest = max(endpoint.free_millicores for endpoint in usable)
+            had_max_free = endpoint.free_millicores == max_free_millicores
+            order_start(task, endpoint)
+            if had_max_free:
+                max_free_millicores = max(endpoint.free_millicores for endpoint in usable)
 
 
 def choose_rack(job: Job, task: Task, usable: Iterable[EndpointState], model: RunTimeModel) -> str:
-    """Chooses the rack where a task should run; empty if all are the same to it.
+    """Returns the rack where a task should run; empty if it runs equally fast in all racks.
 
-    Tasks that belong together go where the others are, the first one to where most of them fit, of
-    such racks to the one with the faster endpoints.
+    A task of a step that should stay in one rack goes to the rack with most running tasks of the
+    step. The first one goes to the rack where most of the step's tasks fit, and among equal racks
+    to the one with the faster endpoints.
     """
     step = task.step
     if step.preferred_rack or not step.stays_in_rack:
         return step.preferred_rack
-    present = _count_step(job, task.name.step)
+    active_by_endpoint = _count_active_tasks(job, task.name.step)
     tasks, speeds, running = Counter[str](), Counter[str](), Counter[str]()
     for endpoint in usable:
         rack = endpoint.info.rack
-        running[rack] += present[endpoint.info.instance]
+        running[rack] += active_by_endpoint[endpoint.info.instance]
         fitting = _count_fitting(endpoint, step)
         tasks[rack] += fitting
         speeds[rack] += fitting * model.speed(endpoint.info.instance.endpoint_id)
@@ -141,20 +156,24 @@
     now_s: float,
     near: NearRack,
 ) -> EndpointState | None:
-    """Chooses the endpoint where the task is expected to end soonest; ``None`` to wait.
+    """Returns the endpoint where a task is expected to end soonest; ``None`` if it should wait.
 
-    Of about equal ones, the one that it fills best is taken. A task of a job that can still be on
-    time waits for a faster endpoint if it would be late at all that have room.
+    Among about equal endpoints, the one with the least remaining capacity is chosen. A task of a
+    job that can still meet its objective waits for a faster endpoint if it would be late on every
+    endpoint with enough free resources.
     """
     step = task.step
     expected_s = model.expected_run_time_s(job.spec.terms.queue, step.estimate_s)
-    on_endpoints = _count_step(job, task.name.step) if step.max_per_endpoint else None
+    active_by_endpoint = _count_active_tasks(job, task.name.step) if step.max_per_endpoint else None
     best, best_cost_s, best_run_time_s, fastest_s = None, inf, inf, inf
     for endpoint in usable:
         info = endpoint.info
         if not _has_label(endpoint, step):
             continue
-        if on_endpoints is not None and on_endpoints[info.instance] >= step.max_per_endpoint:
+        if (
+            active_by_endpoint is not None
+            and active_by_endpoint[info.instance] >= step.max_per_endpoint
+        ):
             continue
         run_time_s = expected_s / model.speed(info.instance.endpoint_id)
         if near.rack and near.rack != info.rack:
@@ -162,26 +181,28 @@
         if info.instance.endpoint_id in task.failed_at:
             run_time_s += FAILED_HERE_FACTOR * expected_s
         fastest_s = min(fastest_s, run_time_s)
-        left = endpoint.free_millicores - step.needs.cpu_millicores
-        if left < 0 or not step.needs.fits(endpoint.room):
+        remaining_millicores = endpoint.free_millicores - step.needs.cpu_millicores
+        if remaining_millicores < 0 or not step.needs.fits(endpoint.free_resources):
             continue
-        cost_s = run_time_s + FIT_WEIGHT_S * left / max(info.capacity.cpu_millicores, 1)
+        cost_s = run_time_s + FIT_WEIGHT_S * remaining_millicores / max(
+            info.capacity.cpu_millicores, 1
+        )
         if cost_s < best_cost_s:
             best, best_cost_s, best_run_time_s = endpoint, cost_s, run_time_s
-    left_s = job.accepted_s + objective_s(job) - now_s
-    would_be_late = RUN_TIME_MARGIN * best_run_time_s > left_s
-    if would_be_late and RUN_TIME_MARGIN * fastest_s <= left_s:
+    remaining_s = job.accepted_s + objective_s(job) - now_s
+    would_be_late = RUN_TIME_MARGIN * best_run_time_s > remaining_s
+    if would_be_late and RUN_TIME_MARGIN * fastest_s <= remaining_s:
         return None
     return best
 
 
 def _waiting_work_s(job: Job, endpoint_cores: float) -> float:
-    """Time that one mean endpoint would take for a job's waiting tasks."""
+    """Returns the time that one mean endpoint would need for a job's waiting tasks."""
     cores = sum(task.step.needs.cpu_millicores for task in job.waiting) / 1000
     return job.expected_s * cores / endpoint_cores
 
 
-def _count_step(job: Job, step: int) -> Counter:
+def _count_active_tasks(job: Job, step: int) -> Counter:
     return Counter(
         task.instance
         for (number, _), task in job.tasks.items()
@@ -189,8 +210,8 @@
     )
 
 
-def _could_take(endpoint: EndpointState, step: StepSpec) -> bool:
-    """Tells whether an endpoint could take a task of a step if it had nothing else to do."""
+def _could_ever_fit(endpoint: EndpointState, step: StepSpec) -> bool:
+    """Returns whether an endpoint could run a task of a step if it had no other tasks."""
     return _has_label(endpoint, step) and step.needs.fits(endpoint.info.capacity)
 
 
@@ -199,14 +220,14 @@
 
 
 def _count_fitting(endpoint: EndpointState, step: StepSpec) -> int:
-    """Counts the tasks of a step that an endpoint has room for."""
-    if not _could_take(endpoint, step):
+    """Returns how many tasks of a step fit into the free resources of an endpoint."""
+    if not _could_ever_fit(endpoint, step):
         return 0
-    room, needs = endpoint.room, step.needs
+    free_resources, needs = endpoint.free_resources, step.needs
     counts = [
-        (room.cpu_millicores, needs.cpu_millicores),
-        (room.memory_mb, needs.memory_mb),
-        (room.accelerators, needs.accelerators),
+        (free_resources.cpu_millicores, needs.cpu_millicores),
+        (free_resources.memory_mb, needs.memory_mb),
+        (free_resources.accelerators, needs.accelerators),
     ]
-    fitting = min((left // each for left, each in counts if each), default=step.count)
+    fitting = min((free // needed for free, needed in counts if needed), default=step.count)
     return min(fitting, step.max_per_endpoint or fitting)
--- a/berylproxy/durable/ports.py
+++ b/berylproxy/durable/ports.py
@@ -1,4 +1,4 @@
-"""What durable jobs need of the world: a transactional store and calls to endpoints."""
+"""Interfaces that durable jobs need: a transactional store and clients of endpoints."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -10,44 +10,47 @@
 
 
 class EndpointCallError(BerylproxyError):
-    """An endpoint gave no usable answer; the call may have taken effect."""
+    """A call to an endpoint got no usable answer; it may have taken effect."""
 
     code = "endpoint_call_failed"
 
 
 class FencedOffError(EndpointCallError):
-    """The endpoint has taken orders under a higher fence: another daemon is the holder now."""
+    """The endpoint has accepted orders under a higher fence: another daemon is the holder now."""
 
     code = "fenced_off"
 
 
 class OtherInstanceError(EndpointCallError):
-    """Another life of the endpoint answered: all that the former one ran has ended."""
+    """Another instance of the endpoint answered: all runs of the former one have ended."""
 
     code = "other_endpoint_life"
 
 
 class StartOutcome(StrEnum):
-    """What an endpoint made of the order to start a task."""
+    """The result of an order to start a task, as far as the holder knows it."""
 
     STARTED = "started"
     FENCED_OFF = "fenced_off"
-    RUN_TOO_OLD = "run_too_old"  # a run as high has been stopped or has ended there
-    TOO_LATE = "too_late"  # it came after the lease that it was sent with
+    RUN_TOO_OLD = "run_too_old"  # a run with this or a higher number has been stopped or has ended
+    TOO_LATE = "too_late"  # the order arrived after the end of the lease that it granted
     NO_ROOM = "no_room"
     UNHEALTHY = "unhealthy"
-    INVALID = "invalid"  # the endpoint can't carry the order out as it is
-    OTHER_LIFE = "other_life"
+    INVALID = "invalid"  # the endpoint can't execute the order as given
+    OTHER_INSTANCE = "other_life"
     NOT_SENT = "not_sent"
-    UNKNOWN = "unknown"  # no answer: it may start still
+    UNKNOWN = "unknown"  # no answer: the task may have started, or may start later
 
 
 @dataclass(frozen=True, slots=True)
 class StartOrder:
-    """Tells an endpoint to start a task.
+    """An order to an endpoint to start a task.
 
-    :param fence: revision of the holder's claim; endpoints refuse orders under a lower one.
-    :param saved: what an earlier run saved; empty to begin anew.
+    :param run: number of the run.
+    :param payload: the job's text for the endpoint.
+    :param fence: the holder's fencing token, derived from the revision of its claim; endpoints
+        refuse orders under a lower one.
+    :param saved: checkpoint that an earlier run saved; empty to start from the beginning.
     """
 
     name: TaskName
@@ -57,20 +60,21 @@
     saved: str = ""
 
 
-class EndpointCalls(Protocol):
-    """Calls to one life of an endpoint.
+class EndpointClient(Protocol):
+    """Client of one instance of an endpoint.
 
-    Each order and renewal extends the endpoint's lease, under which everything there runs.
+    Each start order, and each renewal that asks for it, extends the endpoint's lease. A run ends
+    when the lease lapses.
     """
 
     def lease_end_s(self) -> float:
-        """Monotonic time after which nothing granted so far runs any more."""
+        """Returns the monotonic time after which all granted leases have certainly lapsed."""
 
     async def start(self, order: StartOrder) -> StartOutcome:
-        """Orders the start of a task."""
+        """Sends an order to start a task."""
 
     async def stop(self, name: TaskName, run: int, fence: int) -> None:
-        """Stops a run, also one that has yet to arrive.
+        """Stops a run, also one whose start order has not arrived yet.
 
         :raises EndpointCallError: if there was no answer.
         """
@@ -78,19 +82,21 @@
     async def renew(
         self, fence: int, acknowledged: int, wait_s: float, *, extend: bool
     ) -> EndpointReport:
-        """Asks for what runs and what has ended, for at most ``wait_s`` until something ends.
+        """Requests a report of active and ended runs.
 
-        :param acknowledged: number of the last end that the endpoint may forget.
-        :param extend: whether the lease is extended.
+        The endpoint answers as soon as there is an end to report, else after ``wait_s``.
+
+        :param acknowledged: number up to which the endpoint may forget all ends.
+        :param extend: whether to extend the lease.
         :raises EndpointCallError: if there was no answer.
         """
 
     async def close(self) -> None:
-        """Closes its connections."""
+        """Closes the connections to the endpoint."""
 
 
 class EndpointDirectory(Protocol):
-    """The platform's list of endpoints, and how to call them."""
+    """The platform's list of endpoints, and the factory of their clients."""
 
     async def fetch(self) -> tuple[EndpointInfo, ...]:
         """Reads the list.
@@ -98,13 +104,13 @@
         :raises StoreUnavailableError: while the platform does not answer.
         """
 
-    def connect(self, info: EndpointInfo) -> EndpointCalls:
-        """Makes the calls to an endpoint."""
+    def connect(self, info: EndpointInfo) -> EndpointClient:
+        """Creates the client of an endpoint."""
 
 
 @dataclass(frozen=True, slots=True)
 class Transaction:
-    """Changes that are made all or not at all.
+    """Changes that the store makes atomically.
 
     :param expected: keys with the revision that each must have; 0 for keys that must not exist.
     :param written: values by key.
@@ -117,14 +123,14 @@
 
     @property
     def size(self) -> int:
-        """Number of entries, which the store bounds."""
+        """Number of entries, for which the store has a limit."""
         return len(self.expected) + len(self.written) + len(self.removed)
 
 
 class TransactionConflictError(BerylproxyError):
-    """A key has another revision: nothing was written.
+    """A key has another revision than expected: nothing was written.
 
-    :param revisions: the present revision of each expected key; 0 for absent ones.
+    :param revisions: the current revision of each expected key; 0 for absent keys.
     """
 
     code = "transaction_conflict"
@@ -135,16 +141,20 @@
 
 
 class JobStore(Protocol):
-    """The platform's store, as far as durable jobs need it."""
+    """The operations of the platform's store that durable jobs need.
+
+    :ivar max_entries: largest number of entries of a transaction.
+    """
 
     max_entries: int
 
     async def commit(self, transaction: Transaction) -> int:
-        """Makes the changes and returns their revision.
+        """Applies the changes and returns their revision.
 
         :raises TransactionConflictError: if a key has another revision.
         :raises StoreUnavailableError: if nothing was written.
-        :raises StoreOutcomeUnknownError: if the answer was lost; it may take effect later.
+        :raises StoreOutcomeUnknownError: if the answer was lost; the transaction may take effect
+            later.
         """
 
     async def get(self, key: str) -> Entry | None:
@@ -153,7 +163,8 @@
     async def list_page(
         self, prefix: str, after_key: str, *, may_be_stale: bool = False
     ) -> tuple[tuple[Entry, ...], bool]:
-        """Reads entries below a prefix, and tells whether more follow.
+        """Reads a page of entries below a prefix; returns them and whether more follow.
 
+        :param after_key: key after which the page starts; empty for the first page.
         :param may_be_stale: whether entries may be seconds old, which costs the store less.
         """
--- a/berylproxy/durable/view.py
+++ b/berylproxy/durable/view.py
@@ -90,8 +90,8 @@
         "listed": endpoint.is_listed,
         "leaving": endpoint.info.leaving,
         "missed_calls": endpoint.missed_calls,
-        "closed_for_s": round(max(endpoint.closed_until_s - now_s, 0.0), 3),
+        "closed_for_s": round(max(endpoint.quarantined_until_s - now_s, 0.0), 3),
         "failures_in_row": endpoint.failures_in_row,
-        "runs": len(endpoint.present),
+        "runs": len(endpoint.runs),
         "free_cores": endpoint.free_millicores / 1000,
     }
--- a/berylproxy/platform/endpoints.py
+++ b/berylproxy/platform/endpoints.py
@@ -13,7 +13,7 @@
     EndpointInfo,
     EndpointInstance,
     EndpointReport,
-    Needs,
+    Resources,
     RunningTask,
     TaskName,
 )
@@ -80,7 +80,7 @@
 
 
 class PlatformEndpoint:
-    """Implements :class:`berylproxy.durable.ports.EndpointCalls`."""
+    """Implements :class:`berylproxy.durable.ports.EndpointClient`."""
 
     def __init__(self, info: EndpointInfo, longest_lease_s: float) -> None:
         self._http = HttpExchange(info.address, CONNECT_TIMEOUT_S)
@@ -197,7 +197,7 @@
     )
 
 
-def decode_needs(content: dict[str, Any]) -> Needs:
+def decode_needs(content: dict[str, Any]) -> Resources:
     """Decodes resources; those that are left out are 0.
 
     :raises ValueError: if one is not a whole number of 0 or more.
@@ -205,7 +205,7 @@
     values = [content.get(name, 0) for name in ("cpu", "mem-mb", "gpu")]
     if not all(type(value) is int and value >= 0 for value in values):
         raise ValueError("resources must be whole numbers of 0 or more")
-    return Needs(*values)
+    return Resources(*values)
 
 
 def decode_start(answer: HttpAnswer) -> StartOutcome:
@@ -213,7 +213,7 @@
     if answer.status == 200:
         return StartOutcome.STARTED
     if answer.status == OTHER_LIFE_STATUS:
-        return StartOutcome.OTHER_LIFE
+        return StartOutcome.OTHER_INSTANCE
     if answer.status in UNHEALTHY_STATUSES:
         return StartOutcome.UNHEALTHY
     if answer.status == 409:
--- a/standins/runner.py
+++ b/standins/runner.py
@@ -12,7 +12,7 @@
 from starlette.responses import JSONResponse, Response
 from starlette.routing import Route
 
-from berylproxy.durable.models import EndpointInfo, EndpointInstance, Needs, TaskName
+from berylproxy.durable.models import EndpointInfo, EndpointInstance, Resources, TaskName
 from berylproxy.durable.ports import StartOrder, StartOutcome
 from standins.runner_model import RunnerModel
 from standins.serving import announce, open_listener, port_of, serve_app
@@ -38,7 +38,7 @@
         self.began_s = monotonic()
         self.born_ms = int(time() * 1000)
         instance = EndpointInstance(arguments.name, self.born_ms)
-        capacity = Needs(arguments.cores * 1000, 128_000)
+        capacity = Resources(arguments.cores * 1000, 128_000)
         info = EndpointInfo(instance, arguments.service, "", "a", capacity)
         self.model = RunnerModel(info, run_time_s=arguments.run_time_s)
         self.advertised = arguments.advertise
--- a/tests/steps/durable_decisions_steps.py
+++ b/tests/steps/durable_decisions_steps.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies
 from msgpack import packb
 
-from berylproxy.durable.acceptance import judge
+from berylproxy.durable.acceptance import decide_admission
 from berylproxy.durable.contention import (
     Candidate,
     HolderObservation,
@@ -30,13 +30,13 @@
     EndpointInfo,
     EndpointInstance,
     JobSpec,
-    Needs,
     QueueTerms,
+    Resources,
     StepSpec,
     StoredJob,
     TaskName,
 )
-from berylproxy.durable.placement import place_waiting, rank_job
+from berylproxy.durable.placement import place_waiting_tasks, rank_job
 from berylproxy.durable.records import (
     StoredValueError,
     adopt_model,
@@ -50,7 +50,7 @@
 
 def make_state(name, cores=64, rack=""):
     """Makes an endpoint that takes tasks."""
-    capacity = Needs(int(cores) * 1000, 128_000)
+    capacity = Resources(int(cores) * 1000, 128_000)
     info = EndpointInfo(EndpointInstance(name, 0), GROUP, f"{name}:1", "a", capacity, rack=rack)
     return EndpointState(info, contacted_s=0.0)
 
@@ -60,7 +60,7 @@
 ):
     """Opens a job that came some time ago; the time is now 100 s."""
     terms = QueueTerms("q", GROUP, max_attempts=3, objective_s=objective_s, objective_factor=0.0)
-    fields = {"needs": Needs(cores * 1000), **step_fields}
+    fields = {"needs": Resources(cores * 1000), **step_fields}
     step = StepSpec(tasks, estimate_s=run_time_s, **fields)
     spec = JobSpec(name, terms, "", (step,), is_kept=False)
     job = job_table.open(StoredJob(spec, 0.0), 100.0 - age_s)
@@ -332,7 +332,7 @@
 
 @when(r'endpoint "b" has 50 cores in use by a run that is being stopped')
 def step_impl(context):
-    context.states[1].occupy(TaskName("x", 0, 0), 1, Needs(50_000))
+    context.states[1].add_run(TaskName("x", 0, 0), 1, Resources(50_000))
 
 
 @when(r'a task of 20 cores(?: that failed at "(?P<failed_at>\w+)")? is placed')
@@ -352,13 +352,13 @@
 
     def order(task, endpoint):
         job_table.note_ordered(task, endpoint.info.instance, 100.0)
-        endpoint.occupy(task.name, task.run, task.step.needs)
+        endpoint.add_run(task.name, task.run, task.step.needs)
         context.placed.append(endpoint)
 
-    place_waiting(job_table, context.states, context.model, 100.0, order, remote_factor)
+    place_waiting_tasks(job_table, context.states, context.model, 100.0, order, remote_factor)
     for endpoint in context.placed:
-        for name, run in list(endpoint.present):
-            endpoint.vacate(name, run)
+        for name, run in list(endpoint.runs):
+            endpoint.remove_run(name, run)
 
 
 @given(r"40 jobs that came first and ask for (?P<what>.+)")
@@ -366,7 +366,7 @@
     fields = {
         "200 cores": {"cores": 200},
         "a label of nobody": {"required_label": "nobody"},
-        "300 GB of memory": {"needs": Needs(1000, 300_000)},
+        "300 GB of memory": {"needs": Resources(1000, 300_000)},
     }[what]
     context.impossible = [fields] * 40
 
@@ -428,13 +428,13 @@
     context.state = make_state("a")
     for number in (1, 2, 3):
         name = TaskName(f"j{number}", 0, 0)
-        context.state.take_end(EndedRun(number, name, 1, EndKind.DONE, ""))
+        context.state.add_end(EndedRun(number, name, 1, EndKind.DONE, ""))
 
 
 @when(r"the ends? (?P<numbers>[\d and]+) may be forgotten")
 def step_impl(context, numbers):
     for number in numbers.split(" and "):
-        context.state.release(int(number))
+        context.state.release_end(int(number))
 
 
 @then(r"the ends up to (?P<number>\d+) are acknowledged")
@@ -454,7 +454,7 @@
 @when(r"a job of (?P<tasks>\d+) tasks of 20 cores and 0.2 s with an objective of 0.4 s comes")
 def step_impl(context, tasks):
     draft = open_job(JobTable(), "new", tasks=int(tasks))
-    context.retry_after_s = judge(
+    context.retry_after_s = decide_admission(
         draft, context.job_table.jobs.values(), context.states, context.model, 100.0
     )
 
--- a/tests/steps/durable_holder_steps.py
+++ b/tests/steps/durable_holder_steps.py
@@ -17,8 +17,8 @@
     EndKind,
     JobSpec,
     JobState,
-    Needs,
     QueueTerms,
+    Resources,
     StepSpec,
     StoredJob,
 )
@@ -98,7 +98,7 @@
         estimate_s=0.1,
     ) -> None:
         """Hands a job in without waiting for the answer."""
-        needs = Needs(TASK_CPU_MILLICORES)
+        needs = Resources(TASK_CPU_MILLICORES)
         terms = QueueTerms("q", GROUP, max_attempts=MAX_ATTEMPTS, objective_s=objective_s)
         spec = JobSpec(name, terms, "", (StepSpec(tasks, needs, estimate_s),), is_kept)
         holder = self.holders[fence or self.newest]
@@ -148,7 +148,7 @@
 def step_impl(context):
     world = context.holder_world
     endpoints = world.holders[world.newest].group.endpoints.values()
-    closed = [endpoint for endpoint in endpoints if endpoint.closed_until_s > monotonic()]
+    closed = [endpoint for endpoint in endpoints if endpoint.quarantined_until_s > monotonic()]
     assert not closed, closed
 
 
@@ -261,7 +261,7 @@
 
     async def order_and_drop():
         terms = QueueTerms("q", GROUP, objective_s=ANSWER_TIMEOUT_S)
-        spec = JobSpec(name, terms, "", (StepSpec(1, Needs(TASK_CPU_MILLICORES), 0.1),), False)
+        spec = JobSpec(name, terms, "", (StepSpec(1, Resources(TASK_CPU_MILLICORES), 0.1),), False)
         job = holder.job_table.open(StoredJob(spec, 0.0), monotonic(), entry=ENTRY)
         holder.group.order(job.tasks[0, 0], next(iter(holder.group.endpoints.values())))
         holder.drop(name, "its caller has gone")
--- a/tests/steps/durable_load_steps.py
+++ b/tests/steps/durable_load_steps.py
@@ -24,14 +24,14 @@
 
 def fastest_with_room(job, task, usable, model, now_s, near):
     """Takes the fastest endpoint with room."""
-    fitting = [endpoint for endpoint in usable if task.step.needs.fits(endpoint.room)]
+    fitting = [endpoint for endpoint in usable if task.step.needs.fits(endpoint.free_resources)]
     speed = {id(e): model.speed(e.info.instance.endpoint_id) for e in fitting}
     return max(fitting, key=lambda endpoint: speed[id(endpoint)], default=None)
 
 
 def hopeless_before_start(job, now_s):
     """Lets jobs go on that have begun, whatever becomes of them."""
-    return not job.started and now_s + job.expected_s > placement.last_useful_s(job)
+    return not job.started and now_s + job.expected_s > placement.latest_useful_end_s(job)
 
 
 def play(load):
@@ -50,7 +50,7 @@
     with (
         patch.object(placement, "rank_job", first_come_first_served),
         patch.object(placement, "choose_endpoint", fastest_with_room),
-        patch.object(load_play, "judge", lambda *arguments: None),
+        patch.object(load_play, "decide_admission", lambda *arguments: None),
     ):
         context.baseline = play(load)
 
@@ -68,7 +68,7 @@
 
 @then(r"as many jobs are served as with the policy that lets them go on")
 def step_impl(context):
-    with patch.object(placement, "is_hopeless", hopeless_before_start):
+    with patch.object(placement, "is_too_late", hopeless_before_start):
         patient = play(context.load)
     assert context.shares["served"] >= patient["served"], (context.shares, patient)
 
--- a/tests/support/endpoint_world.py
+++ b/tests/support/endpoint_world.py
@@ -9,7 +9,7 @@
     EndpointInfo,
     EndpointInstance,
     EndpointReport,
-    Needs,
+    Resources,
     RunningTask,
     TaskName,
 )
@@ -176,5 +176,5 @@
 def make_endpoint(name: str, cores: int = 64) -> RunnerModel:
     """Makes an endpoint of some size."""
     instance = EndpointInstance(name, 0)
-    capacity = Needs(cores * 1000, 128_000)
+    capacity = Resources(cores * 1000, 128_000)
     return RunnerModel(EndpointInfo(instance, "ledger", f"{name}:1", "a", capacity))
--- a/tests/support/load_play.py
+++ b/tests/support/load_play.py
@@ -7,7 +7,7 @@
 from random import Random
 
 from berylproxy.durable import placement
-from berylproxy.durable.acceptance import judge
+from berylproxy.durable.acceptance import decide_admission
 from berylproxy.durable.estimates import RunTimeModel
 from berylproxy.durable.fleet import EndpointState
 from berylproxy.durable.job_table import Job, JobTable, Task
@@ -17,12 +17,12 @@
     EndpointInfo,
     EndpointInstance,
     JobSpec,
-    Needs,
     QueueTerms,
+    Resources,
     StepSpec,
     StoredJob,
 )
-from berylproxy.durable.placement import LATE_FACTOR, place_waiting
+from berylproxy.durable.placement import LATE_FACTOR, place_waiting_tasks
 
 GROUP = "ledger"
 MESSAGE_S = 0.004  # one way between holder and endpoint, with their work
@@ -100,14 +100,14 @@
         while self._events:
             self.now_s, _, action, arguments = heappop(self._events)
             action(*arguments)
-            place_waiting(self.job_table, self.endpoints, self.model, self.now_s, self._order)
+            place_waiting_tasks(self.job_table, self.endpoints, self.model, self.now_s, self._order)
         return self.tallies
 
     def _make_endpoint(self, number: int) -> EndpointState:
         cores = (64, 64, 96)[number % 3]
         instance = EndpointInstance(f"e{number}", 0)
         self._speeds[instance] = (1.6, 1.0, 0.6)[number // 3 % 3]
-        info = EndpointInfo(instance, GROUP, "h:1", "a", Needs(cores * 1000, 256_000))
+        info = EndpointInfo(instance, GROUP, "h:1", "a", Resources(cores * 1000, 256_000))
         return EndpointState(info, contacted_s=0.0)
 
     def _plan_arrivals(self, backlog_jobs: int) -> None:
@@ -142,12 +142,14 @@
         limit_s = STRETCH * max(works_s) + OBJECTIVE_S
         offer = Offer(kind, self.now_s, works_s, worth, limit_s)
         terms = QueueTerms(kind.queue, GROUP, 0, 3, STRETCH, OBJECTIVE_S)
-        step = StepSpec(tasks, Needs(int(cores * 1000), 64), self._spread(work_s, 0.4) * 0.4)
+        step = StepSpec(tasks, Resources(int(cores * 1000), 64), self._spread(work_s, 0.4) * 0.4)
         spec = JobSpec(f"j{next(self._numbers)}", terms, "", (step,), is_kept=False)
         self.tallies[kind.queue].owed += worth
         draft = self._open(JobTable(), spec)
         if (
-            judge(draft, self.job_table.jobs.values(), self.endpoints, self.model, self.now_s)
+            decide_admission(
+                draft, self.job_table.jobs.values(), self.endpoints, self.model, self.now_s
+            )
             is not None
         ):
             self.tallies[kind.queue].outcomes["refused"] += 1
@@ -163,13 +165,13 @@
     def _order(self, task: Task, endpoint: EndpointState) -> None:
         instance = endpoint.info.instance
         self.job_table.note_ordered(task, instance, self.now_s)
-        endpoint.occupy(task.name, task.run, task.step.needs)
+        endpoint.add_run(task.name, task.run, task.step.needs)
         work_s = self.offers[task.name.job_id].works_s[task.name.index]
         took_s = work_s / self._speeds[instance] + 2 * MESSAGE_S
         self._at(self.now_s + took_s, self._end, task, task.run, endpoint)
 
     def _end(self, task: Task, run: int, endpoint: EndpointState) -> None:
-        endpoint.vacate(task.name, run)
+        endpoint.remove_run(task.name, run)
         found = self.job_table.find_task(task.name)
         if found is None:
             return
@@ -183,11 +185,11 @@
 
     def _give_up(self) -> None:
         for job in list(self.job_table.jobs.values()):
-            if placement.is_hopeless(job, self.now_s):
+            if placement.is_too_late(job, self.now_s):
                 for endpoint in self.endpoints:
-                    for name, run in list(endpoint.present):
+                    for name, run in list(endpoint.runs):
                         if name.job_id == job.spec.job_id:
-                            endpoint.vacate(name, run)
+                            endpoint.remove_run(name, run)
                 self.job_table.cancel(job)
                 self._conclude(job, "broken off" if job.started else "given up")
 
