--- a/tests/durable/decisions.feature
+++ b/tests/durable/decisions.feature
@@ -34,7 +34,7 @@
     Then 4 groups are stored and read, and damaged divisions are refused
 
   Scenario Outline: a service is divided only when its list has settled
-    Given looks at the list that saw <first> and <second> endpoints
+    Given reads of the endpoint list that found <first> and <second> endpoints
     Then the list <state> settled
 
     Examples:
@@ -50,13 +50,13 @@
 
   Scenario: what a holder has learnt is stored, and its successor begins with it
     Given 40 tasks of queue "q" with an estimate of 0.1 s took 0.2 s at "fast" and 0.4 s at "slow"
-    When the learnt run times are stored and read by a daemon that knows nothing
+    When the learnt run times are stored and read by a new daemon
     Then "fast" is about twice as fast as "slow"
     And a task of queue "q" with an estimate of 0.1 s is expected to take longer than 0.12 s
-    And a daemon that has seen more keeps its own, and damaged ones are refused
+    And a daemon with more finished tasks keeps its own, and damaged ones are refused
 
-  Scenario: of waiting jobs the one that can still be in time goes first
-    Given jobs that wait:
+  Scenario: of waiting jobs the one that can still end in time goes first
+    Given waiting jobs:
       | job  | age_s | run_time_s | objective_s |
       | late | 0.5   | 0.2        | 0.4         |
       | gone | 5.0   | 0.2        | 0.4         |
@@ -71,43 +71,43 @@
     When a task of 20 cores that failed at "b" is placed
     Then it runs at "a"
 
-  Scenario: what is being stopped still takes room
+  Scenario: a run that is being stopped still uses resources
     Given endpoints "a" of speed 1 and "b" of speed 2 with 64 cores each
     When endpoint "b" has 50 cores in use by a run that is being stopped
     And a task of 20 cores is placed
     Then it runs at "a"
 
-  Scenario Outline: an endpoint that fails everything is closed, one that fails a bad task is not
+  Scenario Outline: an endpoint is quarantined after repeated failures, not after a single one
     Given an endpoint that failed <failures> tasks that had not failed elsewhere
-    Then it takes <takes> tasks after 0.1 s
+    Then it accepts <accepts> tasks after 0.1 s
 
     Examples:
-      | failures | takes |
-      | 1        | new   |
-      | 2        | no    |
+      | failures | accepts |
+      | 1        | new     |
+      | 2        | no      |
 
-  Scenario: ends are acknowledged in order, once their jobs are settled
-    Given an endpoint that listed the ends 1, 2 and 3
-    When the ends 1 and 3 may be forgotten
+  Scenario: ends of runs are acknowledged in order, once the endpoint may forget them
+    Given an endpoint that reported the ends 1, 2 and 3
+    When the endpoint may forget the ends 1 and 3
     Then the ends up to 1 are acknowledged
-    When the end 2 may be forgotten
+    When the endpoint may forget the end 2
     Then the ends up to 3 are acknowledged
 
   Scenario Outline: a job is refused at once if its answer would come too late
     Given 2 endpoints of 64 cores with <busy> s of work for each
-    When a job of <tasks> tasks of 20 cores and 0.2 s with an objective of 0.4 s comes
-    Then it is <taken>
+    When a job of <tasks> tasks of 20 cores and 0.2 s and an objective of 0.4 s is submitted
+    Then the job is <verdict>
 
     Examples:
-      | busy | tasks | taken   |
-      | 0    | 4     | taken   |
-      | 0.5  | 4     | taken   |
-      | 3    | 4     | refused |
-      | 0    | 60    | refused |
+      | busy | tasks | verdict  |
+      | 0    | 4     | accepted |
+      | 0.5  | 4     | accepted |
+      | 3    | 4     | refused  |
+      | 0    | 60    | refused  |
 
-  Scenario Outline: jobs that no endpoint can take keep nobody waiting
+  Scenario Outline: jobs that no endpoint can run do not block later jobs
     Given endpoints "a" of speed 1 and "b" of speed 2 with 64 cores each
-    And 40 jobs that came first and ask for <what>
+    And 40 earlier jobs whose tasks need <what>
     When a task of 20 cores is placed
     Then it runs at "b"
 
--- a/tests/durable/load.feature
+++ b/tests/durable/load.feature
@@ -1,10 +1,10 @@
-Feature: What callers get under load, by the decisions alone
+Feature: The shares of jobs that are served under load, by the decisions alone
 
   # The loads have the rates, sizes and speeds of an installation of 24 endpoints. The baseline starts
-  # jobs in the order in which they came, each task at the fastest endpoint with room.
+  # jobs in the order of their arrival, each task on the fastest endpoint with enough free resources.
 
   Scenario Outline: callers get more in time than from first come, first served
-    When <load> is played with the decisions of the holder and with the baseline
+    When <load> is simulated with the decisions of the holder and with the baseline
     Then more worth is earned and more jobs end in time than with the baseline
 
     Examples:
@@ -14,14 +14,14 @@
       | the return of 110 callers after an outage    |
 
   Scenario: under the usual load hardly anybody waits too long, whatever the job
-    When the usual load is played with the decisions of the holder and with the baseline
+    When the usual load is simulated with the decisions of the holder and with the baseline
     Then 99 of 100 jobs end in time and none is refused
     And each kind of job earns 95 of 100 of its worth
 
   Scenario Outline: nobody waits for an answer that can't be of use any more
-    When <load> is played with the decisions of the holder and with the baseline
+    When <load> is simulated with the decisions of the holder and with the baseline
     Then no job ends after three times its objective
-    And as many jobs are served as with the policy that lets them go on
+    And at least as many jobs are served as with a policy that never abandons started jobs
 
     Examples:
       | load                                         |
--- a/tests/steps/durable_decisions_steps.py
+++ b/tests/steps/durable_decisions_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the pure decisions about durable jobs."""
+"""Steps for the decisions about durable jobs, which need no clock and no network."""
 
 from collections import Counter
 from dataclasses import replace
@@ -49,7 +49,7 @@
 
 
 def make_state(name, cores=64, rack=""):
-    """Makes an endpoint that takes tasks."""
+    """Creates an endpoint that accepts tasks."""
     capacity = Resources(int(cores) * 1000, 128_000)
     info = EndpointInfo(EndpointInstance(name, 0), GROUP, f"{name}:1", "a", capacity, rack=rack)
     return EndpointState(info, contacted_s=0.0)
@@ -58,7 +58,7 @@
 def open_job(
     job_table, name, *, tasks=1, cores=20, run_time_s=0.2, objective_s=0.4, age_s=0.0, **step_fields
 ):
-    """Opens a job that came some time ago; the time is now 100 s."""
+    """Opens a job that was accepted ``age_s`` ago; the current time is 100 s."""
     terms = QueueTerms("q", GROUP, max_attempts=3, objective_s=objective_s, objective_factor=0.0)
     fields = {"needs": Resources(cores * 1000), **step_fields}
     step = StepSpec(tasks, estimate_s=run_time_s, **fields)
@@ -190,7 +190,7 @@
         raise AssertionError(damaged)
 
 
-@given(r"looks at the list that saw (?P<first>\d+) and (?P<second>\d+) endpoints")
+@given(r"reads of the endpoint list that found (?P<first>\d+) and (?P<second>\d+) endpoints")
 def step_impl(context, first, second):
     context.is_settled = is_settled([int(first), int(second)])
 
@@ -279,20 +279,20 @@
     assert context.model.expected_run_time_s("q", 0.1) > 0.12
 
 
-@when(r"the learnt run times are stored and read by a daemon that knows nothing")
+@when(r"the learnt run times are stored and read by a new daemon")
 def step_impl(context):
     context.stored_model = encode_model(context.model)
     context.model = RunTimeModel()
     adopt_model(context.model, context.stored_model)
 
 
-@then(r"a daemon that has seen more keeps its own, and damaged ones are refused")
+@then(r"a daemon with more finished tasks keeps its own, and damaged ones are refused")
 def step_impl(context):
-    wiser = RunTimeModel()
+    experienced = RunTimeModel()
     for _ in range(500):
-        wiser.learn("q", 0.1, "fast", 5.0)
-    adopt_model(wiser, context.stored_model)
-    assert wiser.expected_run_time_s("q", 0.0) > 4
+        experienced.learn("q", 0.1, "fast", 5.0)
+    adopt_model(experienced, context.stored_model)
+    assert experienced.expected_run_time_s("q", 0.0) > 4
     for damaged in (b"", b"\x01", packb({"queues": [], "speeds": {}}), packb({"queues": 5})):
         try:
             adopt_model(RunTimeModel(), damaged)
@@ -301,7 +301,7 @@
         raise AssertionError(damaged)
 
 
-@given(r"jobs that wait:")
+@given(r"waiting jobs:")
 def step_impl(context):
     job_table = JobTable()
     for row in context.table:
@@ -347,21 +347,21 @@
 
 
 def place_all(context, job_table, remote_factor=2.0):
-    """Places what waits, and notes where."""
+    """Places all waiting tasks, and records their endpoints in ``context.placed``."""
     context.placed = []
 
-    def order(task, endpoint):
+    def order_start(task, endpoint):
         job_table.note_ordered(task, endpoint.info.instance, 100.0)
         endpoint.add_run(task.name, task.run, task.step.needs)
         context.placed.append(endpoint)
 
-    place_waiting_tasks(job_table, context.states, context.model, 100.0, order, remote_factor)
+    place_waiting_tasks(job_table, context.states, context.model, 100.0, order_start, remote_factor)
     for endpoint in context.placed:
         for name, run in list(endpoint.runs):
             endpoint.remove_run(name, run)
 
 
-@given(r"40 jobs that came first and ask for (?P<what>.+)")
+@given(r"40 earlier jobs whose tasks need (?P<what>.+)")
 def step_impl(context, what):
     fields = {
         "200 cores": {"cores": 200},
@@ -418,12 +418,12 @@
         context.state.note_failure(100.0)
 
 
-@then(r"it takes (?P<verdict>new|no) tasks after 0.1 s")
+@then(r"it accepts (?P<verdict>new|no) tasks after 0.1 s")
 def step_impl(context, verdict):
     assert context.state.may_start(100.1) == (verdict == "new")
 
 
-@given(r"an endpoint that listed the ends 1, 2 and 3")
+@given(r"an endpoint that reported the ends 1, 2 and 3")
 def step_impl(context):
     context.state = make_state("a")
     for number in (1, 2, 3):
@@ -431,7 +431,7 @@
         context.state.add_end(EndedRun(number, name, 1, EndKind.DONE, ""))
 
 
-@when(r"the ends? (?P<numbers>[\d and]+) may be forgotten")
+@when(r"the endpoint may forget the ends? (?P<numbers>[\d and]+)")
 def step_impl(context, numbers):
     for number in numbers.split(" and "):
         context.state.release_end(int(number))
@@ -451,7 +451,7 @@
         open_job(context.job_table, "busy", tasks=2, cores=54, run_time_s=float(busy_s))
 
 
-@when(r"a job of (?P<tasks>\d+) tasks of 20 cores and 0.2 s with an objective of 0.4 s comes")
+@when(r"a job of (?P<tasks>\d+) tasks of 20 cores and 0.2 s and an objective of 0.4 s is submitted")
 def step_impl(context, tasks):
     draft = open_job(JobTable(), "new", tasks=int(tasks))
     context.retry_after_s = decide_admission(
@@ -459,9 +459,9 @@
     )
 
 
-@then(r"it is (?P<verdict>taken|refused)")
+@then(r"the job is (?P<verdict>accepted|refused)")
 def step_impl(context, verdict):
-    assert (context.retry_after_s is None) == (verdict == "taken"), context.retry_after_s
+    assert (context.retry_after_s is None) == (verdict == "accepted"), context.retry_after_s
 
 
 use_step_matcher("parse")
--- a/tests/steps/durable_load_steps.py
+++ b/tests/steps/durable_load_steps.py
@@ -1,4 +1,4 @@
-"""Steps that play loads through the decisions about jobs."""
+"""Steps that simulate loads on a holder's decisions about jobs."""
 
 from unittest.mock import patch
 
@@ -6,7 +6,7 @@
 
 from berylproxy.durable import placement
 from tests.support import load_play
-from tests.support.load_play import LoadPlay, summarize
+from tests.support.load_play import LoadSimulation, summarize
 
 SEEDS = (1, 2, 3)
 LOADS = {
@@ -18,41 +18,41 @@
 
 
 def first_come_first_served(job, now_s, endpoint_cores):
-    """Ranks jobs by the time at which they came."""
+    """Ranks jobs by the time of their acceptance, in place of ``rank_job``."""
     return 0, job.accepted_s, 0.0
 
 
-def fastest_with_room(job, task, usable, model, now_s, near):
-    """Takes the fastest endpoint with room."""
+def choose_fastest_endpoint(job, task, usable, model, now_s, near):
+    """Returns the fastest endpoint with free resources, in place of ``choose_endpoint``."""
     fitting = [endpoint for endpoint in usable if task.step.needs.fits(endpoint.free_resources)]
     speed = {id(e): model.speed(e.info.instance.endpoint_id) for e in fitting}
     return max(fitting, key=lambda endpoint: speed[id(endpoint)], default=None)
 
 
-def hopeless_before_start(job, now_s):
-    """Lets jobs go on that have begun, whatever becomes of them."""
+def is_too_late_before_start(job, now_s):
+    """Never abandons a job that has started, in place of ``is_too_late``."""
     return not job.started and now_s + job.expected_s > placement.latest_useful_end_s(job)
 
 
-def play(load):
-    """Plays a load with several seeds."""
-    factors, backlog_jobs = LOADS[load]
-    return summarize([LoadPlay(seed, factors, backlog_jobs).run() for seed in SEEDS])
+def simulate(load):
+    """Simulates a load with several seeds and returns the shares of all of them."""
+    load_factors, backlog_jobs = LOADS[load]
+    return summarize([LoadSimulation(seed, load_factors, backlog_jobs).run() for seed in SEEDS])
 
 
 use_step_matcher("re")
 
 
-@when(r"(?P<load>.+) is played with the decisions of the holder and with the baseline")
+@when(r"(?P<load>.+) is simulated with the decisions of the holder and with the baseline")
 def step_impl(context, load):
     context.load = load
-    context.shares = play(load)
+    context.shares = simulate(load)
     with (
         patch.object(placement, "rank_job", first_come_first_served),
-        patch.object(placement, "choose_endpoint", fastest_with_room),
+        patch.object(placement, "choose_endpoint", choose_fastest_endpoint),
         patch.object(load_play, "decide_admission", lambda *arguments: None),
     ):
-        context.baseline = play(load)
+        context.baseline = simulate(load)
 
 
 @then(r"more worth is earned and more jobs end in time than with the baseline")
@@ -66,11 +66,11 @@
     assert context.shares["useless"] == 0.0, context.shares
 
 
-@then(r"as many jobs are served as with the policy that lets them go on")
+@then(r"at least as many jobs are served as with a policy that never abandons started jobs")
 def step_impl(context):
-    with patch.object(placement, "is_too_late", hopeless_before_start):
-        patient = play(context.load)
-    assert context.shares["served"] >= patient["served"], (context.shares, patient)
+    with patch.object(placement, "is_too_late", is_too_late_before_start):
+        other_shares = simulate(context.load)
+    assert context.shares["served"] >= other_shares["served"], (context.shares, other_shares)
 
 
 @then(r"99 of 100 jobs end in time and none is refused")
--- a/tests/support/endpoint_world.py
+++ b/tests/support/endpoint_world.py
@@ -27,37 +27,37 @@
 LEASE_S = 1.0
 
 
-class FakeEndpointCalls:
-    """Implements the calls of one holder to a fake endpoint."""
+class FakeEndpointClient:
+    """Implements a holder's client of a fake endpoint."""
 
     def __init__(self, endpoint: RunnerModel) -> None:
         self.endpoint = endpoint
-        self._granted_s = 0.0
+        self._lease_end_s = 0.0
 
     def lease_end_s(self) -> float:
-        """Monotonic time after which nothing granted so far runs any more."""
-        return self._granted_s + 0.01
+        """Returns the monotonic time after which all granted leases have lapsed."""
+        return self._lease_end_s + 0.01
 
     async def start(self, order: StartOrder) -> StartOutcome:
-        """Orders the start of a task."""
+        """Sends an order to start a task."""
         endpoint = self.endpoint
         await sleep(0.001)
-        self._granted_s = monotonic() + LEASE_S
+        self._lease_end_s = monotonic() + LEASE_S
         if order.fence in endpoint.cut_fences:
             return StartOutcome.UNKNOWN
         if endpoint.late_starts:
             endpoint.late_starts -= 1
             await sleep(endpoint.late_by_s)
-            endpoint.start(order, self._granted_s)
+            endpoint.start(order, self._lease_end_s)
             return StartOutcome.UNKNOWN
-        outcome = endpoint.start(order, self._granted_s)
+        outcome = endpoint.start(order, self._lease_end_s)
         if endpoint.lost_starts:
             endpoint.lost_starts -= 1
             return StartOutcome.UNKNOWN
         return outcome
 
     async def stop(self, name: TaskName, run: int, fence: int) -> None:
-        """Stops a run, also one that has yet to arrive."""
+        """Stops a run, also one whose start order has not arrived yet."""
         await sleep(0.001)
         self._check(fence)
         self.endpoint.stop(name, run)
@@ -65,15 +65,15 @@
     async def renew(
         self, fence: int, acknowledged: int, wait_s: float, *, extend: bool
     ) -> EndpointReport:
-        """Asks for what runs and what has ended."""
+        """Requests a report of active and ended runs."""
         sent_s = monotonic()
         if extend:
-            self._granted_s = sent_s + LEASE_S  # it may arrive although no answer comes
+            self._lease_end_s = sent_s + LEASE_S  # the request may arrive even if no answer does
         await sleep(0.001)
         self._check(fence)
         endpoint = self.endpoint
         if extend:
-            endpoint.lease_s = max(endpoint.lease_s, self._granted_s)
+            endpoint.lease_s = max(endpoint.lease_s, self._lease_end_s)
         endpoint.acknowledge(acknowledged)
         until_s = monotonic() + wait_s
         while not endpoint.ended and monotonic() < until_s:
@@ -85,7 +85,7 @@
         return EndpointReport(0, sent_s, tuple(running), tuple(endpoint.ended))
 
     async def close(self) -> None:
-        """Has nothing to close."""
+        """Does nothing: there are no connections."""
 
     def _check(self, fence: int) -> None:
         self.endpoint.settle()
@@ -97,7 +97,7 @@
 
 
 class FakeDirectory:
-    """Implements the list of endpoints."""
+    """Implements the platform's list of endpoints."""
 
     def __init__(self, endpoints: list[RunnerModel]) -> None:
         self.endpoints = endpoints
@@ -106,9 +106,9 @@
         """Reads the list."""
         return tuple(endpoint.info for endpoint in self.endpoints)
 
-    def connect(self, info: EndpointInfo) -> FakeEndpointCalls:
-        """Makes the calls to an endpoint."""
-        return FakeEndpointCalls(
+    def connect(self, info: EndpointInfo) -> FakeEndpointClient:
+        """Creates the client of an endpoint."""
+        return FakeEndpointClient(
             next(e for e in self.endpoints if e.info.instance == info.instance)
         )
 
@@ -116,9 +116,10 @@
 class FakeJobStore:
     """Implements the transactional store.
 
-    :ivar is_out: every call fails and nothing is done.
+    :ivar is_out: whether every call fails without an effect.
     :ivar lost_answers: how many of the next commits take effect without an answer.
-    :ivar reads: how many calls read what.
+    :ivar commits: number of commits that took effect.
+    :ivar reads: number of reads by kind: single keys, pages and stale pages.
     """
 
     max_entries = 32
@@ -132,16 +133,16 @@
         self.reads: Counter[str] = Counter()
 
     async def commit(self, transaction: Transaction) -> int:
-        """Makes the changes and returns their revision."""
+        """Applies the changes and returns their revision."""
         await sleep(0.001)
         if self.is_out:
             raise StoreUnavailableError("out")
-        present = {
+        current = {
             key: self.entries[key].revision if key in self.entries else 0
             for key, _ in transaction.expected
         }
-        if any(present[key] != revision for key, revision in transaction.expected):
-            raise TransactionConflictError("conflict", present)
+        if any(current[key] != revision for key, revision in transaction.expected):
+            raise TransactionConflictError("conflict", current)
         self.revision += 1
         self.commits += 1
         for key, value in transaction.written:
@@ -174,7 +175,7 @@
 
 
 def make_endpoint(name: str, cores: int = 64) -> RunnerModel:
-    """Makes an endpoint of some size."""
+    """Creates an endpoint with a given number of cores."""
     instance = EndpointInstance(name, 0)
     capacity = Resources(cores * 1000, 128_000)
     return RunnerModel(EndpointInfo(instance, "ledger", f"{name}:1", "a", capacity))
