--- a/berylproxy/durable/group.py
+++ b/berylproxy/durable/group.py
@@ -87,7 +87,7 @@
         self._on_final = on_final
         self._clients: dict[EndpointInstance, EndpointClient] = {}
         self._wakeups: dict[EndpointInstance, Event] = {}
-        self._missing_since_s: dict[EndpointInstance, float] = {}
+        self._unlisted_from_s: dict[EndpointInstance, float] = {}
         self._orphan_ends: list[tuple[EndpointState, int]] = []
         self._list_read_s = tenure.began_s
 
@@ -111,7 +111,7 @@
         self._list_read_s = now_s
         info_by_instance = {info.instance: info for info in listed if self._is_in_group(info)}
         for instance, info in info_by_instance.items():
-            self._missing_since_s.pop(instance, None)
+            self._unlisted_from_s.pop(instance, None)
             endpoint = self.endpoints.get(instance)
             if endpoint is None:
                 self._add_endpoint(info)
@@ -125,8 +125,8 @@
         grace_s = UNLISTED_GRACE_S if was_unavailable else 0.0
         for instance, endpoint in self.endpoints.items():
             if instance not in info_by_instance:
-                since_s = self._missing_since_s.setdefault(instance, now_s + grace_s)
-                if now_s >= since_s:
+                unlisted_from_s = self._unlisted_from_s.setdefault(instance, now_s + grace_s)
+                if now_s >= unlisted_from_s:
                     endpoint.is_listed = False
         self.has_read_list = True
         self.changed.set()
@@ -139,6 +139,7 @@
         self._tenure.spawn(self._poll_endpoint, endpoint)
 
     async def _poll_endpoint(self, endpoint: EndpointState) -> None:
+        """Renews the endpoint's lease and applies its reports until it is removed."""
         instance = endpoint.info.instance
         client = self._clients[instance]
         while instance in self.endpoints:
@@ -204,6 +205,7 @@
         self.changed.set()
 
     def _drop_run(self, endpoint: EndpointState, name: TaskName, run: int, reason: str) -> None:
+        """Removes a run that is not active, and requeues its task if the run is the current one."""
         endpoint.remove_run(name, run)
         task = self._job_table.find_task(name)
         if task is None or task.instance != endpoint.info.instance or task.run != run:
@@ -232,7 +234,7 @@
         self._tenure.spawn(self._clients[instance].close)
         self.endpoints.pop(instance, None)
         self._model.forget(instance.endpoint_id)
-        self._missing_since_s.pop(instance, None)
+        self._unlisted_from_s.pop(instance, None)
 
     def _apply_report(self, endpoint: EndpointState, report: EndpointReport) -> None:
         now_s = self._clock.now_s()
@@ -281,6 +283,7 @@
             task.progressed_s = now_s
 
     def _may_adopt(self, task: Task, instance: EndpointInstance, run: int) -> bool:
+        """Returns whether a reported run may continue as the task's current run."""
         if task.status in ACTIVE_STATUSES:
             return task.instance == instance and task.run == run
         if task.status is TaskStatus.UNRESOLVED:
@@ -288,6 +291,7 @@
         return task.status is TaskStatus.WAITING and run >= task.run
 
     def _handle_end(self, endpoint: EndpointState, end: EndedRun, now_s: float) -> None:
+        """Applies a newly reported end of a run to its endpoint, its task and its job."""
         endpoint.remove_run(end.name, end.run)
         self._tenure.telemetry.count("runs_ended", kind=end.kind.value)
         task = self._job_table.find_task(end.name)
@@ -326,8 +330,8 @@
         self, endpoint: EndpointState, task: Task, end: EndedRun, now_s: float
     ) -> None:
         instance = endpoint.info.instance
-        is_closed = not task.failed_at and endpoint.note_failure(now_s)
-        if is_closed:
+        is_quarantined = not task.failed_at and endpoint.note_failure(now_s)
+        if is_quarantined:
             self._tenure.telemetry.count("endpoint_closures", reason="failures")
         logger.info(
             "run failed",
@@ -338,7 +342,7 @@
                 endpoint=instance.endpoint_id,
                 failures_of_task=len(task.failed_runs) + 1,
                 failures_of_endpoint=endpoint.failures_in_row,
-                endpoint_closed=is_closed,
+                endpoint_closed=is_quarantined,
             ),
         )
 
--- a/berylproxy/durable/placement.py
+++ b/berylproxy/durable/placement.py
@@ -136,16 +136,18 @@
     if step.preferred_rack or not step.stays_in_rack:
         return step.preferred_rack
     active_by_endpoint = _count_active_tasks(job, task.name.step)
-    tasks, speeds, running = Counter[str](), Counter[str](), Counter[str]()
+    fitting_tasks, total_speeds, running_tasks = Counter[str](), Counter[str](), Counter[str]()
     for endpoint in usable:
         rack = endpoint.info.rack
-        running[rack] += active_by_endpoint[endpoint.info.instance]
+        running_tasks[rack] += active_by_endpoint[endpoint.info.instance]
         fitting = _count_fitting(endpoint, step)
-        tasks[rack] += fitting
-        speeds[rack] += fitting * model.speed(endpoint.info.instance.endpoint_id)
-    if running.total():
-        return max(running, key=running.__getitem__)
-    return max(tasks, key=lambda rack: (min(tasks[rack], step.count), speeds[rack]))
+        fitting_tasks[rack] += fitting
+        total_speeds[rack] += fitting * model.speed(endpoint.info.instance.endpoint_id)
+    if running_tasks.total():
+        return max(running_tasks, key=running_tasks.__getitem__)
+    return max(
+        fitting_tasks, key=lambda rack: (min(fitting_tasks[rack], step.count), total_speeds[rack])
+    )
 
 
 def choose_endpoint(
--- a/tests/steps/durable_holder_steps.py
+++ b/tests/steps/durable_holder_steps.py
@@ -263,7 +263,7 @@
         terms = QueueTerms("q", GROUP, objective_s=ANSWER_TIMEOUT_S)
         spec = JobSpec(name, terms, "", (StepSpec(1, Resources(TASK_CPU_MILLICORES), 0.1),), False)
         job = holder.job_table.open(StoredJob(spec, 0.0), monotonic(), entry=ENTRY)
-        holder.group.order(job.tasks[0, 0], next(iter(holder.group.endpoints.values())))
+        holder.group.order_start(job.tasks[0, 0], next(iter(holder.group.endpoints.values())))
         holder.drop(name, "its caller has gone")
 
     world.portal.call(order_and_drop)
