--- a/berylproxy/durable/best_effort.py
+++ b/berylproxy/durable/best_effort.py
@@ -12,7 +12,7 @@
 from berylproxy.durable.ledger import NotHolderError, TenureLostError
 from berylproxy.durable.messages import JobSubmission, JobSubmissionReply
 from berylproxy.durable.models import JobSpec, StoredJob
-from berylproxy.durable.placement import is_hopeless
+from berylproxy.durable.placement import is_too_late
 from berylproxy.durable.tenure import Tenure
 from berylproxy.errors import BerylproxyError
 
@@ -159,7 +159,7 @@
                 continue
             if not is_entry_alive(job.entry):
                 self.drop(job.spec.job_id, "no message received from its entry daemon")
-            elif is_hopeless(job, now_s):
+            elif is_too_late(job, now_s):
                 self._abandon_late(job, now_s)
 
     def _abandon_late(self, job: Job, now_s: float) -> None:
@@ -187,7 +187,7 @@
         :param reply: reply to the callers; by default the job's state.
         :param error: error to raise for the callers instead of a reply.
         """
-        self._group.stop_active(job)
+        self._group.stop_all_runs(job)
         job_id = job.spec.job_id
         if job_id not in self._job_table.jobs:
             return
--- a/berylproxy/durable/outcomes.py
+++ b/berylproxy/durable/outcomes.py
@@ -131,7 +131,7 @@
                 await sleep(RETRY_PAUSE_S)
         self._job_table.close(job)
         for retained in self._retained_ends.pop(job_id, ()):
-            retained.endpoint.release(retained.number)
+            retained.endpoint.release_end(retained.number)
         self._stored_events.pop(job_id).set()
 
     def store_old_progress(self, now_s: float) -> None:
@@ -169,4 +169,4 @@
         if job_id in self._retained_ends:
             self._retained_ends[job_id] = remaining
         for end in retained:
-            end.endpoint.release(end.number)
+            end.endpoint.release_end(end.number)
--- a/berylproxy/platform/endpoints.py
+++ b/berylproxy/platform/endpoints.py
@@ -13,7 +13,7 @@
     EndpointInfo,
     EndpointInstance,
     EndpointReport,
-    Needs,
+    Resources,
     RunningTask,
     TaskName,
 )
@@ -80,7 +80,7 @@
 
 
 class PlatformEndpoint:
-    """Implements :class:`berylproxy.durable.ports.EndpointCalls` for one runner.
+    """Implements :class:`berylproxy.durable.ports.EndpointClient` for one runner.
 
     On the wire the platform calls a lease "hold", its end "until-ms" and the number of the last
     acknowledged end "last-seen".
@@ -202,7 +202,7 @@
     )
 
 
-def decode_needs(content: dict[str, Any]) -> Needs:
+def decode_needs(content: dict[str, Any]) -> Resources:
     """Decodes resource amounts; a missing one is 0.
 
     :raises ValueError: if an amount is not a non-negative integer.
@@ -210,7 +210,7 @@
     values = [content.get(name, 0) for name in ("cpu", "mem-mb", "gpu")]
     if not all(type(value) is int and value >= 0 for value in values):
         raise ValueError("resources must be whole numbers of 0 or more")
-    return Needs(*values)
+    return Resources(*values)
 
 
 def decode_start(response: HttpResponse) -> StartOutcome:
@@ -218,7 +218,7 @@
     if response.status == 200:
         return StartOutcome.STARTED
     if response.status == OTHER_INSTANCE_STATUS:
-        return StartOutcome.OTHER_LIFE
+        return StartOutcome.OTHER_INSTANCE
     if response.status in UNHEALTHY_STATUSES:
         return StartOutcome.UNHEALTHY
     if response.status == 409:
