--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the systems that berylproxy meets: the platform and endpoints."""
+"""Small stand-ins for the external systems of berylproxy: the platform and the endpoints."""
--- a/standins/cluster.py
+++ b/standins/cluster.py
@@ -1,4 +1,4 @@
-"""A small system of real processes: the platform's store, endpoints and daemons."""
+"""Runs the platform's store, endpoints and daemons as processes on one machine."""
 
 import json
 from collections import Counter
@@ -25,7 +25,7 @@
 class EndpointPlan:
     """An endpoint to start.
 
-    :param speed: tasks run that many times faster than they say.
+    :param speed: factor by which tasks run faster than their bodies request.
     """
 
     failure_domain: str
@@ -35,11 +35,11 @@
 
 @dataclass
 class Cluster:
-    """Starts the processes, writes the records and ends what it started.
+    """Starts the processes, writes the records and ends the processes that it started.
 
     :param daemon_domains: the failure domain of each daemon.
-    :param service: fields of the service's record in place of the defaults.
-    :param environment: variables for all daemons.
+    :param service: fields of the service's record that replace the defaults.
+    :param environment: environment variables added for all daemons.
     """
 
     folder: Path
@@ -56,7 +56,7 @@
         self.client = Client(trust_env=False, timeout=REQUEST_TIMEOUT_S)
 
     def start(self) -> None:
-        """Starts everything and waits until each daemon is ready and sees the others."""
+        """Starts all processes and waits until each daemon is ready and sees all its peers."""
         self.store = self._start("store", ["-m", "standins.store"])
         with ThreadPoolExecutor(MAX_STARTS_AT_ONCE) as pool:
             plans = list(enumerate(self.endpoint_plans))
@@ -69,7 +69,7 @@
         self.wait_until(lambda: self.is_ready(0), "the first configuration")
         self.write_records()
         for daemon in self.daemons:
-            self.wait_until(lambda daemon=daemon: self._is_settled(daemon), daemon.name)
+            self.wait_until(lambda daemon=daemon: self._has_converged(daemon), daemon.name)
 
     def stop(self) -> None:
         """Ends all processes."""
@@ -77,7 +77,7 @@
         self.stack.close()
 
     def start_daemon(self, number: int, domain: str, name: str = "") -> ManagedProcess:
-        """Starts a daemon that knows the addresses of those that run."""
+        """Starts a daemon with the addresses of the daemons that are already running."""
         peers = ",".join(daemon.announced["peer_address"] for daemon in self.daemons)
         variables = {
             "BERYLPROXY_DAEMON_ID": f"d{number}",
@@ -94,7 +94,7 @@
         return self._start(name, ["-m", "berylproxy.daemon"], environment=variables)
 
     def write_records(self) -> None:
-        """Applies the records of one pool and one service."""
+        """Creates the records of one pool, one service and all endpoints."""
         service = {
             "schema_version": 1,
             "pools": [POOL],
@@ -110,7 +110,7 @@
             self.apply("endpoints", f"e{number}", self.describe_endpoint(number, plan))
 
     def describe_endpoint(self, number: int, plan: EndpointPlan) -> dict:
-        """Makes an endpoint's record."""
+        """Builds the record of an endpoint."""
         return {
             "schema_version": 1,
             "pool": POOL,
@@ -122,31 +122,31 @@
         }
 
     def apply(self, kind: str, name: str, record: dict, daemon: int = 0) -> Response:
-        """Creates a record through a daemon."""
+        """Creates a record through the daemon with the given number."""
         url = f"{self.url(daemon)}/v1/records/{kind}/{name}"
         response = self.client.put(url, json=record, headers={"If-None-Match": "*"})
         assert response.status_code == 200, response.text
         return response
 
     def url(self, daemon: int) -> str:
-        """Base URL of a daemon."""
+        """Returns the base URL of a daemon's HTTP API."""
         return f"http://{self.daemons[daemon].announced['http_address']}"
 
     def is_ready(self, daemon: int) -> bool:
-        """Tells what the balancer sees of a daemon."""
+        """Returns whether a daemon's readiness check, as a load balancer uses it, succeeds."""
         return self.client.get(f"{self.url(daemon)}/readyz").status_code == 200
 
     def read_status(self, daemon: int) -> dict:
-        """Reads a daemon's status."""
+        """Returns a daemon's status report."""
         return self.client.get(f"{self.url(daemon)}/v1/status").json()
 
     def control(self, process: ManagedProcess, **switches: object) -> None:
-        """Sets a stand-in's switches."""
+        """Sets fault switches of a stand-in."""
         response = self.client.put(f"{process.control_url}/control", json=switches)
         assert response.status_code == 200, response.text
 
     def read_events(self) -> Iterator[dict]:
-        """Yields what the endpoints logged, endpoint by endpoint."""
+        """Yields the logged events of all endpoints, endpoint by endpoint."""
         for number in range(len(self.endpoints)):
             path = self.folder / f"e{number}.log"
             if path.exists():
@@ -154,30 +154,31 @@
                     yield json.loads(line)
 
     def count_starts(self) -> Counter[str]:
-        """Counts the starts of each task at the endpoints."""
+        """Counts how often each task was started at any endpoint."""
         return Counter(
             event["task_id"] for event in self.read_events() if event["event"] == "start"
         )
 
     def wait_until(
-        self, condition: Callable[[], bool], what: str, timeout_s: float = READY_TIMEOUT_S
+        self, condition: Callable[[], bool], description: str, timeout_s: float = READY_TIMEOUT_S
     ) -> None:
         """Polls until a condition holds.
 
-        :raises AssertionError: if it does not within the time.
+        :param description: names the condition in the error.
+        :raises AssertionError: if the condition does not hold within ``timeout_s``.
         """
         end_s = monotonic() + timeout_s
         while monotonic() < end_s:
             if condition():
                 return
             sleep(POLL_INTERVAL_S)
-        raise AssertionError(f"not in time: {what}")
+        raise AssertionError(f"timed out waiting for: {description}")
 
-    def _is_settled(self, daemon: ManagedProcess) -> bool:
+    def _has_converged(self, daemon: ManagedProcess) -> bool:
         url = f"http://{daemon.announced['http_address']}/v1"
         try:
             status = self.client.get(f"{url}/status").json()
-            # Records reach a daemon one by one: endpoints may be there before their service.
+            # Records reach a daemon one by one, so endpoints may be known before their service.
             service = self.client.get(f"{url}/records/services/{SERVICE}")
         except HTTPError:
             return False
--- a/standins/endpoint.py
+++ b/standins/endpoint.py
@@ -1,4 +1,4 @@
-"""Stand-in for an endpoint: runs tasks by sleeping, with switches for what goes wrong."""
+"""Stand-in for an endpoint that runs tasks by sleeping, with switches that inject faults."""
 
 import json
 import os
@@ -23,11 +23,11 @@
 NOT_RUN_HEADER = {"Berylproxy-Outcome": "not_run"}
 CODE_HEADER = "Berylproxy-Code"
 HTTP_OK, HTTP_BAD_REQUEST, HTTP_FAILED, HTTP_UNAVAILABLE = 200, 400, 500, 503
-NO_ANSWER = 0  # status in the log of a task whose answer was not sent
+NO_ANSWER = 0  # status logged for a task whose response was not sent
 
 
 class TaskBody(BaseModel):
-    """What a task asks the stand-in to do; other fields are echoed.
+    """Body of a task; fields other than these are only echoed.
 
     :param run_time_s: run time at speed 1.
     :param fail: whether the task ends with status 500.
@@ -40,16 +40,17 @@
 
 
 class Switches(BaseModel):
-    """What goes wrong; ``None`` leaves a switch as it is.
+    """Fault switches; ``None`` leaves a switch unchanged.
 
     :param speed: factor by which tasks run faster.
-    :param fail_everything: answers 500 at once.
-    :param freeze: accepts, starts nothing and never answers what it met while frozen.
-    :param silent: silences the connections open at the time of the switch, for good.
-    :param leaving: refuses with ``leaving``.
-    :param truncate: sends half of the body that its length announces, then closes.
-    :param oversize_bytes: pads the answer by this length.
-    :param late_s: answers later by this.
+    :param fail_everything: answers 500 without running the task.
+    :param freeze: accepts requests but starts no task, and never answers a request that arrived or
+        a task that ended while frozen.
+    :param silent: permanently drops all bytes of the connections that are open at that moment.
+    :param leaving: refuses tasks with the code ``leaving``.
+    :param truncate: sends half of the announced body, then closes the connection.
+    :param oversize_bytes: length of the padding added to each response.
+    :param late_s: delay added before each response.
     """
 
     speed: float | None = None
@@ -63,7 +64,7 @@
 
 
 class EventLog:
-    """Appends one JSON line for each event; a line is in the file once ``write`` returns."""
+    """Appends one JSON line per event; the line is in the file when ``write`` returns."""
 
     def __init__(self, path: Path | None, endpoint: str) -> None:
         flags = os.O_WRONLY | os.O_APPEND | os.O_CREAT
@@ -71,7 +72,7 @@
         self.endpoint = endpoint
 
     def write(self, event: str, request: Request, status: int | None = None) -> None:
-        """Writes an event of a task."""
+        """Writes one event of the task that a request carries."""
         if self.descriptor is None:
             return
         line = {
@@ -87,10 +88,10 @@
 
 
 class TruncatedResponse(Response):
-    """Announces the length of the whole body, sends half of it and ends the connection."""
+    """Announces the length of the whole body, sends half of it and closes the connection."""
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Sends the first half."""
+        """Sends the headers and the first half of the body."""
         headers = self.raw_headers
         await send({"type": "http.response.start", "status": self.status_code, "headers": headers})
         half = self.body[: len(self.body) // 2]
@@ -98,7 +99,7 @@
 
 
 class EndpointApp:
-    """The application with its switches."""
+    """The endpoint's HTTP applications, their state and the fault switches."""
 
     def __init__(self, name: str, slots: int, speed: float, log: EventLog) -> None:
         self.name = name
@@ -117,23 +118,23 @@
         )
 
     def build_task_app(self) -> Starlette:
-        """Builds the application that daemons call."""
+        """Returns the application that daemons call."""
         return Starlette(
             routes=[
-                Route("/v1/tasks", self.take_task, methods=["POST"]),
+                Route("/v1/tasks", self.handle_task, methods=["POST"]),
                 Route("/healthz", self.show_health),
             ]
         )
 
     def build_control_app(self) -> Starlette:
-        """Builds the application that tests call."""
+        """Returns the application through which tests set the switches."""
         return Starlette(routes=[Route("/control", self.control, methods=["PUT"])])
 
-    async def take_task(self, request: Request) -> Response:
-        """Refuses or runs a task and answers."""
+    async def handle_task(self, request: Request) -> Response:
+        """Runs or refuses a task and returns the response."""
         raw_body = await request.body()
         if self.switches.freeze:
-            return await self.never_answer(request)
+            return await self.withhold_response(request)
         if refusal := self.find_refusal():
             return self.refuse(request, refusal)
         try:
@@ -142,24 +143,24 @@
             return PlainTextResponse("body is not a task", HTTP_BAD_REQUEST)
         status = await self.run_task(request, body)
         if status == NO_ANSWER:
-            return await self.never_answer(request)
+            return await self.withhold_response(request)
         await anyio.sleep(self.switches.late_s or 0.0)
         return self.build_answer(request, raw_body, status)
 
     def find_refusal(self) -> str:
-        """Returns the code with which a task is to be refused; empty if it may start."""
+        """Returns the code for refusing a new task, or an empty string if the task may start."""
         if self.switches.leaving:
             return "leaving"
         return "full" if self.running >= self.slots else ""
 
     def refuse(self, request: Request, code: str) -> Response:
-        """Refuses a task that has not started."""
+        """Returns the response that refuses a task before its start."""
         self.log.write("refuse", request, HTTP_UNAVAILABLE)
         headers = NOT_RUN_HEADER | {CODE_HEADER: code}
         return PlainTextResponse(f"not run: {code}", HTTP_UNAVAILABLE, headers)
 
     async def run_task(self, request: Request, body: TaskBody) -> int:
-        """Runs a task in a slot and returns the status of its answer."""
+        """Runs a task in a slot and returns the status of its response, or :data:`NO_ANSWER`."""
         self.running += 1
         self.log.write("start", request)
         status = HTTP_FAILED if body.fail else HTTP_OK
@@ -176,7 +177,7 @@
         return status
 
     def build_answer(self, request: Request, raw_body: bytes, status: int) -> Response:
-        """Builds a finished task's answer."""
+        """Returns the response for a finished task."""
         content: dict[str, Any] = {
             "task_id": request.headers.get(TASK_ID_HEADER, ""),
             "endpoint": self.name,
@@ -188,29 +189,29 @@
             return TruncatedResponse(json.dumps(content), status, media_type="application/json")
         return JSONResponse(content, status)
 
-    async def never_answer(self, request: Request) -> Response:
-        """Waits until the caller goes away."""
+    async def withhold_response(self, request: Request) -> Response:
+        """Sends nothing until the client disconnects."""
         while (await request.receive())["type"] != "http.disconnect":
             pass
         return Response()
 
     async def show_health(self, request: Request) -> Response:
-        """Answers unless the endpoint is frozen."""
+        """Reports the running tasks, unless the endpoint is frozen."""
         if self.switches.freeze:
-            return await self.never_answer(request)
+            return await self.withhold_response(request)
         return JSONResponse({"endpoint": self.name, "running": self.running})
 
     async def control(self, request: Request) -> Response:
-        """Merges switches."""
-        given = Switches.model_validate_json(await request.body())
-        self.switches = self.switches.model_copy(update=given.model_dump(exclude_none=True))
+        """Applies the switches given in the request."""
+        changes = Switches.model_validate_json(await request.body())
+        self.switches = self.switches.model_copy(update=changes.model_dump(exclude_none=True))
         assert self.relay is not None
-        await self.relay.apply(RelaySwitches(silent=given.silent))
+        await self.relay.apply(RelaySwitches(silent=changes.silent))
         return JSONResponse({})
 
 
 async def main(arguments: Namespace) -> None:
-    """Runs the stand-in behind a relay, which limits and silences connections."""
+    """Runs the stand-in behind a relay that limits and silences connections."""
     log = EventLog(arguments.log, arguments.name)
     endpoint = EndpointApp(arguments.name, arguments.slots, arguments.speed, log)
     host = arguments.host
--- a/standins/gateway.py
+++ b/standins/gateway.py
@@ -1,4 +1,4 @@
-"""How etcd's JSON gateway writes keys, changes and errors."""
+"""Encodes keys, events and errors in the format of etcd's JSON gateway."""
 
 from base64 import b64decode, b64encode
 from typing import Any
@@ -10,8 +10,8 @@
 Message = dict[str, Any]
 
 
-class RefusedError(Exception):
-    """A call that fails with an HTTP status and a gRPC code."""
+class GatewayError(Exception):
+    """A failed call, with its HTTP status and gRPC code."""
 
     def __init__(self, message: str, status: int, code: int) -> None:
         super().__init__(message)
@@ -20,13 +20,13 @@
         self.code = code
 
 
-def decode(message: Message, name: str) -> bytes:
-    """Decodes a base64 field; an absent one is empty."""
+def decode_field(message: Message, name: str) -> bytes:
+    """Decodes a base64 field of a message; an absent field gives empty bytes."""
     return b64decode(message.get(name, ""), validate=True)
 
 
-def describe(stored: StoredValue) -> Message:
-    """Describes a key as the gateway does, without the fields that are zero."""
+def encode_key_value(stored: StoredValue) -> Message:
+    """Encodes a key-value pair as the gateway does, omitting fields that are zero or empty."""
     fields = {
         "key": b64encode(stored.key).decode(),
         "value": b64encode(stored.value or b"").decode(),
@@ -37,28 +37,28 @@
     return {name: value for name, value in fields.items() if value}
 
 
-def describe_event(change: StoredValue) -> Message:
-    """Describes a change; the type PUT is the one left out."""
-    event = {"kv": describe(change)}
+def encode_event(change: StoredValue) -> Message:
+    """Encodes a watch event; the type is omitted for PUT, its default value."""
+    event = {"kv": encode_key_value(change)}
     return event | {"type": "DELETE"} if change.value is None else event
 
 
-def invalid_argument(message: str) -> RefusedError:
-    """Builds the error for a call that is wrong in itself."""
-    return RefusedError(message, status=400, code=3)
+def invalid_argument(message: str) -> GatewayError:
+    """Returns the gRPC error ``INVALID_ARGUMENT``."""
+    return GatewayError(message, status=400, code=3)
 
 
-def not_found(message: str) -> RefusedError:
-    """Builds the error for something that does not exist."""
-    return RefusedError(message, status=404, code=5)
+def not_found(message: str) -> GatewayError:
+    """Returns the gRPC error ``NOT_FOUND``."""
+    return GatewayError(message, status=404, code=5)
 
 
-def unavailable(message: str) -> RefusedError:
-    """Builds the error for a service that takes no calls."""
-    return RefusedError(message, status=503, code=14)
+def unavailable(message: str) -> GatewayError:
+    """Returns the gRPC error ``UNAVAILABLE``."""
+    return GatewayError(message, status=503, code=14)
 
 
-def build_error(error: RefusedError) -> JSONResponse:
-    """Builds the gateway's answer to a call that failed."""
+def build_error_response(error: GatewayError) -> JSONResponse:
+    """Returns the gateway's response to a failed call."""
     body = {"error": error.message, "message": error.message, "code": error.code}
     return JSONResponse(body, error.status)
--- a/standins/key_values.py
+++ b/standins/key_values.py
@@ -11,16 +11,16 @@
 
 
 class CompactedError(Exception):
-    """The asked revision is older than the history kept."""
+    """The requested revision is older than the retained history."""
 
 
 class LeaseNotFoundError(Exception):
-    """The lease does not exist or has lapsed."""
+    """The lease does not exist or has expired."""
 
 
 @dataclass(frozen=True, slots=True)
 class StoredValue:
-    """A key's value; ``None`` marks a deletion in the history."""
+    """One version of a key; the value ``None`` marks a deletion in the history."""
 
     key: bytes
     value: bytes | None
@@ -31,15 +31,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Lease:
-    """A lease and the time at which it lapses."""
+    """A lease, its TTL and the time of its expiry on the store's clock."""
 
     ttl_s: int
-    lapses_at_s: float
+    expires_at_s: float
 
 
 @dataclass(slots=True)
 class State:
-    """All that a snapshot keeps."""
+    """The complete state of the store, which a snapshot copies."""
 
     revision: int = 1
     compact_revision: int = 0
@@ -48,34 +48,41 @@
     history: list[StoredValue] = field(default_factory=list)
 
     def copy(self) -> "State":
-        """Copies the state; the entries themselves never change."""
+        """Returns a copy of the state; the entries are immutable and therefore shared."""
         values, leases, history = dict(self.values), dict(self.leases), list(self.history)
         return State(self.revision, self.compact_revision, values, leases, history)
 
 
 class KeyValues:
-    """The store; ``changed`` is set and replaced at each change."""
+    """The key-value store.
+
+    :ivar changed: event that is set and replaced by a new one at each change.
+    """
 
     def __init__(self) -> None:
         self.state = State()
         self.snapshot = State()
         self.next_lease_id = FIRST_LEASE_ID
-        self.clock_ahead_s = 0.0
+        self.clock_offset_s = 0.0
         self.changed = anyio.Event()
 
     def now_s(self) -> float:
-        """Returns the store's clock, which tests can move ahead."""
-        return time.monotonic() + self.clock_ahead_s
+        """Returns the time on the store's clock, which tests can advance."""
+        return time.monotonic() + self.clock_offset_s
 
     def select(self, key: bytes, range_end: bytes) -> list[StoredValue]:
-        """Returns the values of a key or a range in the order of the keys."""
+        """Returns the values of a key or a range, sorted by key."""
         if not range_end:
             return [self.state.values[key]] if key in self.state.values else []
         keys = sorted(name for name in self.state.values if in_range(name, key, range_end))
         return [self.state.values[name] for name in keys]
 
     def put(self, key: bytes, value: bytes, lease_id: int) -> None:
-        """Writes a key at a new revision."""
+        """Writes a key at a new revision.
+
+        :param lease_id: lease that the key is attached to; 0 for none.
+        :raises LeaseNotFoundError: if the lease does not exist.
+        """
         if lease_id and lease_id not in self.state.leases:
             raise LeaseNotFoundError
         revision = self.state.revision + 1
@@ -84,10 +91,10 @@
         self.record(StoredValue(key, value, created, revision, lease_id))
 
     def delete(self, key: bytes, range_end: bytes = b"") -> int:
-        """Deletes a key or a range at one new revision, if there is anything to delete."""
-        doomed = [stored.key for stored in self.select(key, range_end)]
-        self.delete_keys(doomed)
-        return len(doomed)
+        """Deletes the existing keys of a range at one new revision; returns their number."""
+        keys_to_delete = [stored.key for stored in self.select(key, range_end)]
+        self.delete_keys(keys_to_delete)
+        return len(keys_to_delete)
 
     def delete_keys(self, keys: list[bytes]) -> None:
         """Deletes existing keys at one new revision."""
@@ -96,7 +103,7 @@
             self.record(StoredValue(key, None, 0, revision))
 
     def record(self, stored: StoredValue) -> None:
-        """Applies one change and tells the waiting watches."""
+        """Applies one change, appends it to the history and wakes the waiting watches."""
         self.state.revision = stored.mod_revision
         if stored.value is None:
             del self.state.values[stored.key]
@@ -113,13 +120,16 @@
         self.changed = anyio.Event()
 
     def compact(self, revision: int) -> None:
-        """Forgets the changes below a revision."""
+        """Discards the history before a revision."""
         start = bisect_left(self.state.history, revision, key=lambda entry: entry.mod_revision)
         del self.state.history[:start]
         self.state.compact_revision = revision
 
     def changes_from(self, revision: int, key: bytes, range_end: bytes) -> list[StoredValue]:
-        """Returns the changes in a range from a revision on."""
+        """Returns the changes in a range, starting at a revision.
+
+        :raises CompactedError: if the history from that revision is no longer complete.
+        """
         if revision < self.state.compact_revision:
             raise CompactedError
         start = bisect_left(self.state.history, revision, key=lambda entry: entry.mod_revision)
@@ -127,7 +137,7 @@
         return [change for change in later if in_range(change.key, key, range_end)]
 
     def grant_lease(self, ttl_s: int) -> int:
-        """Makes a lease."""
+        """Creates a lease and returns its identifier."""
         self.next_lease_id += 1
         self.state.leases[self.next_lease_id] = Lease(ttl_s, self.now_s() + ttl_s)
         return self.next_lease_id
@@ -141,31 +151,34 @@
         return lease.ttl_s
 
     def revoke_lease(self, lease_id: int) -> None:
-        """Ends a lease and deletes its keys."""
+        """Revokes a lease and deletes its keys.
+
+        :raises LeaseNotFoundError: if the lease does not exist.
+        """
         if self.state.leases.pop(lease_id, None) is None:
             raise LeaseNotFoundError
         values = self.state.values.values()
         self.delete_keys([stored.key for stored in values if stored.lease_id == lease_id])
 
-    def end_lapsed_leases(self) -> None:
-        """Ends the leases whose time is over."""
+    def expire_leases(self) -> None:
+        """Revokes the leases whose TTL has elapsed."""
         now_s = self.now_s()
         for lease_id, lease in list(self.state.leases.items()):
-            if lease.lapses_at_s <= now_s:
+            if lease.expires_at_s <= now_s:
                 self.revoke_lease(lease_id)
 
     def take_snapshot(self) -> None:
-        """Keeps the state for :meth:`restore_snapshot`."""
+        """Saves the state for :meth:`restore_snapshot`."""
         self.snapshot = self.state.copy()
 
     def restore_snapshot(self) -> None:
-        """Goes back to the state of the last snapshot, its revision included."""
+        """Restores the state of the last snapshot, including its revision."""
         self.state = self.snapshot.copy()
         self.notify_watches()
 
 
 def in_range(name: bytes, key: bytes, range_end: bytes) -> bool:
-    """Tells whether a name lies in a range; ``\\0`` as end means all from ``key`` on."""
+    """Returns whether a key is in a range; the end ``\\0`` means all keys from ``key`` on."""
     if not range_end:
         return name == key
     return name >= key and (range_end == b"\0" or name < range_end)
--- a/standins/platform_store.py
+++ b/standins/platform_store.py
@@ -1,4 +1,4 @@
-"""Stand-in for the key-value service of the users' platform, with switches for its failures."""
+"""Stand-in for the key-value service of the users' platform, with fault switches."""
 
 import json
 from argparse import ArgumentParser
@@ -14,17 +14,17 @@
 from standins.key_values import CompactedError, KeyValues, StoredValue
 from standins.serving import announce, open_listener, port_of, serve_app
 
-PAGE_ITEMS = 500
+MAX_PAGE_ITEMS = 500
 MAX_TRANSACTION_ENTRIES = 32
 OPERATOR_PREFIXES = (b"op/", b"servers/")
-LEASE_CHECK_S = 0.05
+LEASE_CHECK_INTERVAL_S = 0.05
 
 
 class PlatformStoreStandin:
-    """The service's calls.
+    """The handlers of the service's HTTP calls.
 
-    :ivar busy: every call is refused with 503.
-    :ivar lost_answers: how many of the next writes take effect and are not answered.
+    :ivar busy: whether every call is refused with 503.
+    :ivar lost_answers: number of the next writes that take effect but get no response.
     """
 
     def __init__(self) -> None:
@@ -33,26 +33,26 @@
         self.lost_answers = 0
 
     async def get_key(self, request: Request) -> Response:
-        """Reads one key."""
+        """Returns one key."""
         stored = self.values.state.values.get(request.query_params["key"].encode())
         if self.busy:
             return Response(status_code=503)
         if stored is None:
             return self.answer({}, 404)
-        return self.answer(describe(stored))
+        return self.answer(encode_entry(stored))
 
     async def get_range(self, request: Request) -> Response:
-        """Reads a page of keys below a prefix."""
+        """Returns one page of the keys with a prefix."""
         if self.busy:
             return Response(status_code=503)
         prefix = request.query_params["prefix"].encode()
         after = request.query_params.get("after", "").encode()
         names = sorted(n for n in self.values.state.values if n.startswith(prefix) and n > after)
-        items = [describe(self.values.state.values[name]) for name in names[:PAGE_ITEMS]]
-        return self.answer({"items": items, "more-pages": len(names) > PAGE_ITEMS})
+        items = [encode_entry(self.values.state.values[name]) for name in names[:MAX_PAGE_ITEMS]]
+        return self.answer({"items": items, "more-pages": len(names) > MAX_PAGE_ITEMS})
 
     async def watch(self, request: Request) -> Response:
-        """Waits for changes."""
+        """Long-polls for changes of keys with a prefix."""
         if self.busy:
             return Response(status_code=503)
         prefix = request.query_params["prefix"].encode()
@@ -68,43 +68,43 @@
                 events = [change for change in changes if change.key.startswith(prefix)]
                 if not events:
                     await changed.wait()
-        return self.answer({"events": [describe(event) for event in events]})
+        return self.answer({"events": [encode_entry(event) for event in events]})
 
-    async def transact(self, request: Request) -> Response:
-        """Makes a change under a condition."""
+    async def run_transaction(self, request: Request) -> Response:
+        """Writes and removes keys if all expected revisions match."""
         if self.busy:
             return Response(status_code=503)
         body = await request.json()
-        expected, written, removed = body["expect"], body["set-keys"], body["remove"]
-        if len(expected) + len(written) + len(removed) > MAX_TRANSACTION_ENTRIES:
+        expected, writes, deletions = body["expect"], body["set-keys"], body["remove"]
+        if len(expected) + len(writes) + len(deletions) > MAX_TRANSACTION_ENTRIES:
             return Response(status_code=400)
         state = self.values.state
-        present = [(row, state.values.get(row["key"].encode())) for row in expected]
-        if any((stored.mod_revision if stored else 0) != row["rev"] for row, stored in present):
+        current = [(row, state.values.get(row["key"].encode())) for row in expected]
+        if any((stored.mod_revision if stored else 0) != row["rev"] for row, stored in current):
             return self.answer(
-                {"items": [describe(stored) for _, stored in present if stored]}, 412
+                {"items": [encode_entry(stored) for _, stored in current if stored]}, 412
             )
-        if any(row["key"].encode().startswith(OPERATOR_PREFIXES) for row in written):
+        if any(row["key"].encode().startswith(OPERATOR_PREFIXES) for row in writes):
             return Response(status_code=403)
-        if any(row.get("lease", 0) not in (0, *state.leases) for row in written):
+        if any(row.get("lease", 0) not in (0, *state.leases) for row in writes):
             return self.answer({}, 404)
-        for row in written:
+        for row in writes:
             self.values.put(row["key"].encode(), b64decode(row["value"]), row.get("lease", 0))
-        doomed = [key.encode() for key in removed if key.encode() in state.values]
-        self.values.delete_keys(doomed)
+        keys_to_delete = [key.encode() for key in deletions if key.encode() in state.values]
+        self.values.delete_keys(keys_to_delete)
         if self.lost_answers:
             self.lost_answers -= 1
             await anyio.sleep_forever()
         return self.answer({"rev": state.revision})
 
-    async def grant(self, request: Request) -> Response:
-        """Makes a lease."""
+    async def create_lease(self, request: Request) -> Response:
+        """Creates a lease."""
         if self.busy:
             return Response(status_code=503)
         ttl_ms = (await request.json())["ttl-ms"]
         return self.answer({"lease": self.values.grant_lease(ttl_ms / 1000), "ttl-ms": ttl_ms})
 
-    async def keep(self, request: Request) -> Response:
+    async def extend_lease(self, request: Request) -> Response:
         """Renews a lease."""
         if self.busy:
             return Response(status_code=503)
@@ -112,30 +112,30 @@
         return self.answer({"ttl-ms": int(ttl_s * 1000)}, 200 if ttl_s else 404)
 
     async def control_put(self, request: Request) -> Response:
-        """Writes what operators and runners write; the value is JSON."""
+        """Writes a key on behalf of an operator or a runner, with a JSON value."""
         body = await request.json()
         self.values.put(body["key"].encode(), json.dumps(body["value"]).encode(), 0)
         return self.answer({})
 
     async def control_switch(self, request: Request) -> Response:
-        """Sets switches."""
+        """Sets the fault switches given in the request."""
         for name, value in (await request.json()).items():
             setattr(self, name, value)
         return self.answer({})
 
     def answer(self, content: dict[str, Any], status: int = 200) -> Response:
-        """Answers with the revision."""
+        """Returns a JSON response that includes the store's revision."""
         return JSONResponse({"store-revision": self.values.state.revision, **content}, status)
 
-    async def end_leases(self) -> None:
-        """Ends leases whose time is over, until cancelled."""
+    async def run_lease_expiry(self) -> None:
+        """Periodically revokes expired leases until cancelled."""
         while True:
-            await anyio.sleep(LEASE_CHECK_S)
-            self.values.end_lapsed_leases()
+            await anyio.sleep(LEASE_CHECK_INTERVAL_S)
+            self.values.expire_leases()
 
 
-def describe(stored: StoredValue) -> dict[str, Any]:
-    """Describes a value or a deletion as the service does."""
+def encode_entry(stored: StoredValue) -> dict[str, Any]:
+    """Encodes a value or a deletion in the service's format."""
     if stored.value is None:
         return {"key": stored.key.decode(), "rev": stored.mod_revision, "deleted": True}
     return {
@@ -154,15 +154,15 @@
         Route("/-/kv-key", store.get_key, methods=["GET"]),
         Route("/-/kv-range", store.get_range, methods=["GET"]),
         Route("/-/kv-watch", store.watch, methods=["GET"]),
-        Route("/-/kv-txn", store.transact, methods=["POST"]),
-        Route("/-/kv-lease", store.grant, methods=["POST"]),
-        Route("/-/kv-keep/{lease}", store.keep, methods=["POST"]),
+        Route("/-/kv-txn", store.run_transaction, methods=["POST"]),
+        Route("/-/kv-lease", store.create_lease, methods=["POST"]),
+        Route("/-/kv-keep/{lease}", store.extend_lease, methods=["POST"]),
         Route("/control/put", store.control_put, methods=["POST"]),
         Route("/control/switch", store.control_switch, methods=["POST"]),
     ]
     listener = open_listener("127.0.0.1", port)
     async with anyio.create_task_group() as task_group:
-        task_group.start_soon(store.end_leases)
+        task_group.start_soon(store.run_lease_expiry)
         announce(port=port_of(listener))
         await serve_app(Starlette(routes=routes), listener)
 
--- a/standins/process.py
+++ b/standins/process.py
@@ -18,15 +18,15 @@
 
 
 class ProcessStartError(Exception):
-    """The process ended, or was silent for too long, before its first line."""
+    """The process ended, or timed out, before it printed its first line."""
 
 
 class ManagedProcess:
     """A child process that prints one JSON object as its first line once it is ready.
 
-    :param name: names the file for its error output, ``<folder>/<name>.stderr``.
+    :param name: names the file of the error output, ``<folder>/<name>.stderr``.
     :param arguments: arguments of the Python interpreter, such as ``["-m", "standins.store"]``.
-    :param environment: variables added to the parent's.
+    :param environment: variables added to the parent's environment.
 
     Example::
 
@@ -65,7 +65,7 @@
 
     @property
     def pid(self) -> int:
-        """Process identifier of the running or ended child."""
+        """Process identifier of the child, also after its end."""
         assert self.child is not None, f"{self.name} was not started"
         return self.child.pid
 
@@ -82,7 +82,7 @@
     def start(self) -> None:
         """Starts the process and waits for its first line.
 
-        :raises ProcessStartError: if it does not come in time.
+        :raises ProcessStartError: if the line is not printed in time or is not JSON.
         """
         with self.stderr_path.open("ab") as stderr:
             self.child = subprocess.Popen(
@@ -101,7 +101,10 @@
             raise ProcessStartError(f"{self.name}: {error}\n{output}") from error
 
     def read_first_line(self) -> bytes:
-        """Waits for the first line on the child's output."""
+        """Returns the first line of the child's standard output.
+
+        :raises ProcessStartError: if the child prints no line in time or ends before.
+        """
         assert self.child is not None and self.child.stdout is not None
         output = self.child.stdout.fileno()
         deadline = monotonic() + self.start_timeout_s
@@ -110,38 +113,38 @@
             selector.register(output, EVENT_READ)
             while b"\n" not in received:
                 if not selector.select(max(deadline - monotonic(), 0.0)):
-                    raise ProcessStartError(f"no line within {self.start_timeout_s} s")
+                    raise ProcessStartError(f"printed no line within {self.start_timeout_s} s")
                 chunk = os.read(output, READ_BYTES)
                 if not chunk:
-                    raise ProcessStartError("ended before its first line")
+                    raise ProcessStartError("ended before it printed its first line")
                 received += chunk
         return received.partition(b"\n")[0]
 
     def is_running(self) -> bool:
-        """Tells whether the process has not ended yet."""
+        """Returns whether the process has been started and has not ended."""
         return self.child is not None and self.child.poll() is None
 
     def terminate(self, timeout_s: float = STOP_TIMEOUT_S) -> int:
-        """Asks the process to stop, waits for its end and returns its exit status.
+        """Sends SIGTERM, waits for the end of the process and returns its exit status.
 
-        :raises subprocess.TimeoutExpired: if it does not end in time; it is left running.
+        :raises subprocess.TimeoutExpired: if the process does not end in time; it is left running.
         """
         self.send_signal(signal.SIGTERM)
         return self.wait(timeout_s)
 
     def kill(self) -> None:
-        """Ends the process at once, if it runs, and waits for its end."""
+        """Sends SIGKILL, if the process is running, and waits for its end."""
         if self.child is None:
             return
         self.send_signal(signal.SIGKILL)
         self.wait(STOP_TIMEOUT_S)
 
     def freeze(self) -> None:
-        """Stops the process from running until :meth:`resume`."""
+        """Suspends the process with SIGSTOP until :meth:`resume`."""
         self.send_signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Lets a frozen process run again."""
+        """Resumes a frozen process."""
         self.send_signal(signal.SIGCONT)
 
     def send_signal(self, number: signal.Signals) -> None:
@@ -150,7 +153,10 @@
             os.kill(self.pid, number)
 
     def wait(self, timeout_s: float) -> int:
-        """Waits for the end and returns the exit status."""
+        """Waits for the end of the process and returns its exit status.
+
+        :raises subprocess.TimeoutExpired: if the process does not end in time.
+        """
         assert self.child is not None
         status = self.child.wait(timeout_s)
         if self.child.stdout is not None:
--- a/standins/relay.py
+++ b/standins/relay.py
@@ -1,4 +1,4 @@
-"""A TCP relay whose connections can be cut, silenced, delayed or lost."""
+"""A TCP relay that injects network faults: resets, delays, silent connections and loss."""
 
 import socket
 import struct
@@ -20,16 +20,18 @@
 
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER of 0 s: close sends RST
 LOSS_SEED = 1
-HALF_CLOSE_LIMIT_S = 0.5  # hypercorn keeps a connection that its client has closed
+# After one side has closed; hypercorn keeps a connection open that its client has closed.
+HALF_CLOSE_TIMEOUT_S = 0.5
 
 
 class RelaySwitches(BaseModel):
-    """What goes wrong on the relay's link; ``None`` leaves a switch as it is.
+    """Fault switches of the relayed link; ``None`` leaves a switch unchanged.
 
     :param cut: resets all connections and refuses new ones.
-    :param silent: silences the connections open at the time of the switch, for good.
-    :param delay_s: time by which each chunk is late, in both directions.
-    :param lose_share: share of chunks at which their connection goes silent for good.
+    :param silent: permanently drops all bytes of the connections that are open at that moment.
+    :param delay_s: delay of each chunk, in both directions.
+    :param lose_share: share of chunks that are lost; the connection of a lost chunk permanently
+        drops all further bytes.
     :param target: ``host:port`` to which new connections are relayed.
     """
 
@@ -42,7 +44,7 @@
 
 @dataclass(slots=True, eq=False)
 class RelayedConnection:
-    """A client's connection and the one to the target that belongs to it."""
+    """A client's connection and the corresponding connection to the target."""
 
     client: SocketStream
     target: SocketStream
@@ -50,21 +52,21 @@
     scope: anyio.CancelScope = field(default_factory=anyio.CancelScope)
 
     def reset(self) -> None:
-        """Ends both sides at once, with a reset."""
+        """Closes both sides immediately with a TCP reset."""
         for stream in (self.client, self.target):
             raw_socket = stream.extra(SocketAttribute.raw_socket)
-            # A connection that its other end has reset may be closed already.
+            # The socket may be closed already if the peer has reset the connection.
             with suppress(OSError):
                 raw_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         self.scope.cancel()
 
 
 class Relay:
-    """Listens from construction on and relays connections to a target.
+    """Relays TCP connections to a target; the socket listens from construction on.
 
-    :param port: port to listen on; 0 lets the kernel pick.
-    :param max_connections: number of open connections beyond which new ones are closed at once;
-        silent ones do not count.
+    :param port: port to listen on; 0 lets the kernel choose.
+    :param max_connections: limit of open connections, not counting silent ones; connections beyond
+        it are closed immediately.
     """
 
     def __init__(
@@ -76,7 +78,7 @@
         max_connections: int | None = None,
     ) -> None:
         self.host = host
-        # A bound socket that never listens keeps the port while connections are refused.
+        # A bound socket that never listens reserves the port while connections are refused.
         self.reservation = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self.reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.reservation.bind((host, port))
@@ -88,11 +90,11 @@
         self.delay_s = 0.0
         self.lose_share = 0.0
         self.random = Random(LOSS_SEED)
-        # By the local port of the side to the target, under which the target knows a connection.
+        # Keyed by the local port of the connection to the target, the port that the target sees.
         self.connections: dict[int, RelayedConnection] = {}
-        self.opening = 0
+        self.connecting = 0
         self.is_cut = False
-        self.serving = anyio.CancelScope()
+        self.serving_scope = anyio.CancelScope()
         self.stopped = anyio.Event()
         self.restored = anyio.Event()
 
@@ -100,7 +102,7 @@
         """Serves until cancelled."""
         try:
             while True:
-                with anyio.CancelScope() as self.serving:
+                with anyio.CancelScope() as self.serving_scope:
                     async with await SocketListener.from_socket(self.listener) as listener:
                         await listener.serve(self.relay_connection)
                 self.stopped.set()
@@ -109,20 +111,20 @@
             self.reservation.close()
 
     async def apply(self, switches: RelaySwitches) -> None:
-        """Sets the switches that are given; they are in force on return."""
+        """Applies the given switches; they are in effect on return."""
         if switches.delay_s is not None:
             self.delay_s = switches.delay_s
         if switches.lose_share is not None:
             self.lose_share = switches.lose_share
         if switches.target is not None:
-            self.target_host, self.target_port = split_target(switches.target)
+            self.target_host, self.target_port = parse_target(switches.target)
         if switches.silent:
             self.silence_open_connections()
         if switches.cut is not None and switches.cut != self.is_cut:
             await self.set_cut(switches.cut)
 
     async def set_cut(self, cut: bool) -> None:
-        """Resets all connections and stops listening, or listens again."""
+        """Cuts or restores the link: a cut resets all connections and stops listening."""
         self.is_cut = cut
         if not cut:
             self.listener = open_listener(self.host, self.port)
@@ -132,23 +134,23 @@
         self.restored = anyio.Event()
         for connection in list(self.connections.values()):
             connection.reset()
-        self.serving.cancel()
+        self.serving_scope.cancel()
         await self.stopped.wait()
 
     def silence_open_connections(self) -> None:
-        """Makes the open connections drop all bytes for good; both ends stay open."""
+        """Makes the open connections drop all bytes permanently; both ends stay open."""
         for connection in self.connections.values():
             connection.silent = True
 
     def is_full(self) -> bool:
-        """Tells whether a new connection is to be closed."""
+        """Returns whether the limit of open connections is reached."""
         if self.max_connections is None:
             return False
-        carrying = sum(not connection.silent for connection in self.connections.values())
-        return carrying + self.opening >= self.max_connections
+        active = sum(not connection.silent for connection in self.connections.values())
+        return active + self.connecting >= self.max_connections
 
     async def relay_connection(self, client: SocketStream) -> None:
-        """Relays one connection until both sides have ended."""
+        """Relays one connection until it is closed; closes it at once if the limit is reached."""
         async with client:
             if self.is_full():
                 return
@@ -156,50 +158,50 @@
             if target is None:
                 return
             async with target:
-                await self.pump_both_ways(RelayedConnection(client, target))
+                await self.relay_both_directions(RelayedConnection(client, target))
 
     async def connect_target(self) -> SocketStream | None:
-        """Connects to the target; ``None`` if it refuses."""
-        self.opening += 1
+        """Connects to the target; returns ``None`` if that fails."""
+        self.connecting += 1
         try:
             return await anyio.connect_tcp(self.target_host, self.target_port)
         except OSError:
             return None
         finally:
-            self.opening -= 1
+            self.connecting -= 1
 
-    async def pump_both_ways(self, connection: RelayedConnection) -> None:
-        """Relays both directions."""
+    async def relay_both_directions(self, connection: RelayedConnection) -> None:
+        """Relays both directions until the connection is closed or reset."""
         client, target = connection.client, connection.target
         port = target.extra(SocketAttribute.local_port)
         self.connections[port] = connection
         try:
             with connection.scope:
                 async with anyio.create_task_group() as group:
-                    group.start_soon(self.pump, connection, client, target)
-                    group.start_soon(self.pump, connection, target, client)
+                    group.start_soon(self.relay_direction, connection, client, target)
+                    group.start_soon(self.relay_direction, connection, target, client)
         finally:
             del self.connections[port]
 
-    async def pump(
+    async def relay_direction(
         self, connection: RelayedConnection, source: SocketStream, sink: SocketStream
     ) -> None:
-        """Relays one direction until its source ends."""
+        """Relays one direction until its source is closed."""
         try:
             async for chunk in source:
-                await self.pass_chunk(connection, chunk, sink)
+                await self.forward_chunk(connection, chunk, sink)
             if not connection.silent:
                 await sink.send_eof()
-                await anyio.sleep(HALF_CLOSE_LIMIT_S)
+                await anyio.sleep(HALF_CLOSE_TIMEOUT_S)
                 connection.scope.cancel()
         except (BrokenResourceError, ClosedResourceError, OSError):
             if not connection.silent:
                 connection.reset()
 
-    async def pass_chunk(
+    async def forward_chunk(
         self, connection: RelayedConnection, chunk: bytes, sink: SocketStream
     ) -> None:
-        """Passes one chunk on unless its connection is silent."""
+        """Forwards one chunk, after the delay, unless it is lost or its connection is silent."""
         if self.delay_s:
             await anyio.sleep(self.delay_s)
         if self.lose_share and self.random.random() < self.lose_share:
@@ -208,14 +210,14 @@
             await sink.send(chunk)
 
 
-def split_target(target: str) -> tuple[str, int]:
-    """Splits ``host:port``."""
+def parse_target(target: str) -> tuple[str, int]:
+    """Parses ``host:port``."""
     host, _, port = target.rpartition(":")
     return host, int(port)
 
 
 def build_control_app(relay: Relay) -> Starlette:
-    """Builds the application that sets the relay's switches."""
+    """Returns the application through which tests set the switches."""
 
     async def control(request: Request) -> JSONResponse:
         await relay.apply(RelaySwitches.model_validate_json(await request.body()))
@@ -241,7 +243,7 @@
     parser.add_argument("--port", type=int, default=0)
     parser.add_argument("--target", required=True, help="host:port")
     arguments = parser.parse_args()
-    anyio.run(main, arguments.host, arguments.port, *split_target(arguments.target))
+    anyio.run(main, arguments.host, arguments.port, *parse_target(arguments.target))
 
 
 if __name__ == "__main__":
--- a/standins/runner.py
+++ b/standins/runner.py
@@ -1,4 +1,7 @@
-"""Stand-in for a runner of the users' platform: takes orders, writes its entry in the list."""
+"""Stand-in for a runner of the users' platform.
+
+It runs tasks as daemons order and publishes its entry in the platform's list of runners.
+"""
 
 import json
 from argparse import ArgumentParser, Namespace
@@ -18,8 +21,8 @@
 from standins.serving import announce, open_listener, port_of, serve_app
 
 HEARTBEAT_S = 0.5
-LONGEST_LEASE_S = 1.0
-WRONG_LIFE = 421
+MAX_LEASE_S = 1.0
+WRONG_INSTANCE_STATUS = 421
 REASONS = {
     StartOutcome.FENCED_OFF: "fence",
     StartOutcome.RUN_TOO_OLD: "old",
@@ -29,44 +32,44 @@
 
 
 class Runner:
-    """One runner process."""
+    """The runner's HTTP handlers and its publication in the list of runners."""
 
     def __init__(self, arguments: Namespace) -> None:
         self.name = arguments.name
         self.service = arguments.service
         self.store_url = arguments.store_url
-        self.began_s = monotonic()
+        self.started_s = monotonic()
         self.born_ms = int(time() * 1000)
         instance = EndpointInstance(arguments.name, self.born_ms)
         capacity = Needs(arguments.cores * 1000, 128_000)
         info = EndpointInfo(instance, arguments.service, "", "a", capacity)
         self.model = RunnerModel(info, run_time_s=arguments.run_time_s)
-        self.advertised = arguments.advertise
+        self.advertised_address = arguments.advertise
         if arguments.history_path:
             self.history_path = Path(arguments.history_path)
             self.model.on_event = self.write_event
 
     def write_event(self, event: tuple) -> None:
-        """Writes what was started or ended to the file, which outlives this process."""
+        """Appends a start or an end of a task to the history file, which outlives this process."""
         with self.history_path.open("a") as file:
             file.write(json.dumps(event) + "\n")
 
     def clock_ms(self) -> int:
-        """The runner's own steady clock."""
-        return int((monotonic() - self.began_s) * 1000)
+        """Returns the time since the start on the runner's monotonic clock."""
+        return int((monotonic() - self.started_s) * 1000)
 
-    def read_until_s(self, until_ms: int) -> float:
-        """Translates the end of a lease, which has a longest length, to the process's clock."""
-        left_s = (until_ms - self.clock_ms()) / 1000
-        return monotonic() + min(left_s, LONGEST_LEASE_S)
+    def convert_lease_end_s(self, until_ms: int) -> float:
+        """Converts a lease's end to ``monotonic()`` time, at most :data:`MAX_LEASE_S` ahead."""
+        remaining_s = (until_ms - self.clock_ms()) / 1000
+        return monotonic() + min(remaining_s, MAX_LEASE_S)
 
     async def start(self, request: Request) -> Response:
-        """Starts a task."""
+        """Handles an order to start a task."""
         body = await request.json()
-        if self.is_for_another(request):
-            return Response(status_code=WRONG_LIFE)
+        if self.is_for_other_instance(request):
+            return Response(status_code=WRONG_INSTANCE_STATUS)
         order = StartOrder(parse_name(body["task"]), body["run"], body["spec"], body["fence"])
-        outcome = self.model.start(order, self.read_until_s(body["until-ms"]))
+        outcome = self.model.start(order, self.convert_lease_end_s(body["until-ms"]))
         if outcome is StartOutcome.STARTED:
             return self.answer({})
         if outcome is StartOutcome.INVALID:
@@ -74,7 +77,7 @@
         return self.answer({"reason": REASONS[outcome]}, 409)
 
     async def stop(self, request: Request) -> Response:
-        """Stops a task."""
+        """Handles an order to stop a task."""
         body = await request.json()
         if body["fence"] < self.model.fence:
             return self.answer({"reason": "fence"}, 409)
@@ -83,23 +86,26 @@
         return self.answer({})
 
     async def hold(self, request: Request) -> Response:
-        """Extends the lease and lists what runs and what has ended."""
+        """Extends the lease and returns the running tasks and the unacknowledged ends.
+
+        Waits up to ``wait-ms`` for a task to end if there is no unacknowledged end.
+        """
         body = await request.json()
-        if self.is_for_another(request):
-            return Response(status_code=WRONG_LIFE)
+        if self.is_for_other_instance(request):
+            return Response(status_code=WRONG_INSTANCE_STATUS)
         if body["fence"] < self.model.fence:
             return self.answer({"reason": "fence"}, 409)
         self.model.fence = body["fence"]
-        self.model.settle()
+        self.model.end_due_runs()
         self.model.acknowledge(body["last-seen"])
         if "until-ms" in body:
-            until_s = self.read_until_s(body["until-ms"])
-            self.model.lease_s = max(self.model.lease_s, until_s)
-        ends_s = monotonic() + body.get("wait-ms", 0) / 1000
-        while not self.model.ended and monotonic() < ends_s:
+            new_lease_end_s = self.convert_lease_end_s(body["until-ms"])
+            self.model.lease_end_s = max(self.model.lease_end_s, new_lease_end_s)
+        wait_deadline_s = monotonic() + body.get("wait-ms", 0) / 1000
+        while not self.model.ended and monotonic() < wait_deadline_s:
             with anyio.move_on_after(0.01):
                 await self.model.changed.wait()
-            self.model.settle()
+            self.model.end_due_runs()
         running = [
             [format_name(r.name), r.run, "", r.percent()] for r in self.model.running.values()
         ]
@@ -109,20 +115,20 @@
         ]
         return self.answer({"running": running, "ended": ended, "born": self.born_ms})
 
-    async def describe(self, request: Request) -> Response:
-        """Tells a test what has been started and how it ended."""
+    async def show_history(self, request: Request) -> Response:
+        """Returns the history of started and ended tasks, for tests."""
         history = [[at_s, kind, list(name), run] for at_s, kind, name, run in self.model.history]
         return JSONResponse({"history": history})
 
-    async def write_entries(self, port: int) -> None:
-        """Writes the runner's entry into the store, again and again."""
+    async def publish_entry(self, port: int) -> None:
+        """Writes the runner's entry to the store periodically."""
         sequence = 0
         async with AsyncClient(trust_env=False, timeout=5) as client:
             while True:
                 sequence += 1
                 entry = {
                     "service": self.service,
-                    "address": self.advertised or f"127.0.0.1:{port}",
+                    "address": self.advertised_address or f"127.0.0.1:{port}",
                     "zone": "a",
                     "version": "v1",
                     "slots": 8,
@@ -136,23 +142,23 @@
                 await client.post(url, json={"key": f"servers/{self.name}", "value": entry})
                 await anyio.sleep(HEARTBEAT_S)
 
-    def is_for_another(self, request: Request) -> bool:
-        """Tells whether the caller means another life of the runner."""
+    def is_for_other_instance(self, request: Request) -> bool:
+        """Returns whether the request is addressed to another instance of the runner."""
         return request.headers.get("Berylproxy-Expect-Instance", self.name) != self.name
 
     def answer(self, content: dict, status: int = 200) -> Response:
-        """Answers with the runner's clock."""
+        """Returns a JSON response that includes the time on the runner's clock."""
         return JSONResponse({"clock-ms": self.clock_ms(), **content}, status)
 
 
 def parse_name(text: str) -> TaskName:
-    """Parses a task's name on the wire."""
+    """Parses the wire format of a task's name."""
     job_id, _, step, index = text.split(".")
     return TaskName(job_id, int(step), int(index))
 
 
 def format_name(name: TaskName) -> str:
-    """Formats a task's name for the wire."""
+    """Returns the wire format of a task's name."""
     return f"{name.job_id}.0.{name.step}.{name.index}"
 
 
@@ -163,12 +169,12 @@
         Route("/-/run-start", runner.start, methods=["POST"]),
         Route("/-/run-stop", runner.stop, methods=["POST"]),
         Route("/-/hold", runner.hold, methods=["POST"]),
-        Route("/control/history", runner.describe, methods=["GET"]),
+        Route("/control/history", runner.show_history, methods=["GET"]),
     ]
     listener = open_listener("127.0.0.1", 0)
     port = port_of(listener)
     async with anyio.create_task_group() as task_group:
-        task_group.start_soon(runner.write_entries, port)
+        task_group.start_soon(runner.publish_entry, port)
         announce(port=port)
         await serve_app(Starlette(routes=routes), listener)
 
--- a/standins/runner_model.py
+++ b/standins/runner_model.py
@@ -1,4 +1,4 @@
-"""What an endpoint of the users' platform does with orders, without a network."""
+"""A model of an endpoint of the users' platform: how it handles orders, without a network."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -12,28 +12,35 @@
 
 @dataclass
 class ModelRun:
-    """A run at a model endpoint."""
+    """A run in progress at the modelled endpoint.
+
+    :ivar ends_s: time at which the run will be complete.
+    """
 
     name: TaskName
     run: int
-    starts_s: float
+    started_s: float
     ends_s: float
 
     def percent(self) -> int:
-        """How much of the work is done by now."""
-        return int(100 * (monotonic() - self.starts_s) / (self.ends_s - self.starts_s))
+        """Returns the progress of the run in percent."""
+        return int(100 * (monotonic() - self.started_s) / (self.ends_s - self.started_s))
 
 
 @dataclass
 class RunnerModel:
     """An endpoint's state, shared by all holders that call it.
 
-    :ivar cut_fences: calls under these fences get no answer and have no effect.
-    :ivar lost_starts: how many of the next starts take effect without an answer.
-    :ivar late_starts: how many of the next starts take effect later, without an answer.
+    :ivar cut_fences: calls with these fences get no answer and have no effect.
+    :ivar lost_starts: number of the next starts that take effect but get no answer.
+    :ivar late_starts: number of the next starts that take effect late and get no answer.
+    :ivar late_by_s: delay of the late starts.
+    :ivar lease_end_s: time at which runs lapse unless the lease is extended.
+    :ivar highest_runs: highest run number by task that was started or stopped; a start needs a
+        higher one.
     :ivar rejected_jobs: identifiers of jobs whose orders are rejected as malformed.
     :ivar on_event: called with each entry of the history.
-    :ivar kinds: how the runs of a job end, by its identifier; done unless named.
+    :ivar end_kinds_by_job: how the runs of a job end, by its identifier; done by default.
     """
 
     info: EndpointInfo
@@ -43,51 +50,51 @@
     late_starts: int = 0
     late_by_s: float = 0.3
     fence: int = 0
-    lease_s: float = 0.0
+    lease_end_s: float = 0.0
     running: dict = field(default_factory=dict)
     ended: list = field(default_factory=list)
-    refused: dict = field(default_factory=dict)
-    ends: int = 0
+    highest_runs: dict = field(default_factory=dict)
+    end_count: int = 0
     history: list = field(default_factory=list)
-    kinds: dict = field(default_factory=dict)
+    end_kinds_by_job: dict = field(default_factory=dict)
     rejected_jobs: set = field(default_factory=set)
     changed: Event = field(default_factory=Event)
     on_event: Callable[[tuple], None] | None = None
 
     def stop(self, name: TaskName, run: int) -> None:
-        """Stops a run, also one that has yet to arrive."""
-        self.settle()
-        self.refused[name] = max(self.refused.get(name, 0), run)
+        """Stops a run; an order to start it that arrives later is refused."""
+        self.end_due_runs()
+        self.highest_runs[name] = max(self.highest_runs.get(name, 0), run)
         if (name, run) in self.running:
             self.end((name, run), EndKind.STOPPED, monotonic())
 
     def acknowledge(self, number: int) -> None:
-        """Forgets the ends up to a number."""
+        """Discards the reported ends up to a number."""
         self.ended = [end for end in self.ended if end.number > number]
 
-    def settle(self) -> None:
-        """Ends what is over by now."""
+    def end_due_runs(self) -> None:
+        """Ends the runs that are complete or whose lease has lapsed."""
         now_s = monotonic()
         for key, run in list(self.running.items()):
-            if now_s >= self.lease_s and run.ends_s > self.lease_s:
-                self.end(key, EndKind.LAPSED, self.lease_s)
+            if now_s >= self.lease_end_s and run.ends_s > self.lease_end_s:
+                self.end(key, EndKind.LAPSED, self.lease_end_s)
             elif now_s >= run.ends_s:
-                kind = self.kinds.get(run.name.job_id, EndKind.DONE)
+                kind = self.end_kinds_by_job.get(run.name.job_id, EndKind.DONE)
                 self.end(key, kind, run.ends_s)
 
     def end(self, key: tuple, kind: EndKind, at_s: float) -> None:
-        """Ends one run."""
+        """Ends one run and adds it to the ends to report."""
         run = self.running.pop(key)
-        self.ends += 1
-        self.ended.append(EndedRun(self.ends, run.name, run.run, kind, ""))
-        self.refused[run.name] = max(self.refused.get(run.name, 0), run.run)
+        self.end_count += 1
+        self.ended.append(EndedRun(self.end_count, run.name, run.run, kind, ""))
+        self.highest_runs[run.name] = max(self.highest_runs.get(run.name, 0), run.run)
         self._note(at_s, kind.value, run.name, run.run)
         self.changed.set()
         self.changed = Event()
 
-    def start(self, order: StartOrder, until_s: float) -> StartOutcome:
-        """Starts a task, or says why not."""
-        self.settle()
+    def start(self, order: StartOrder, new_lease_end_s: float) -> StartOutcome:
+        """Starts a run of a task and returns the outcome, or the reason for a refusal."""
+        self.end_due_runs()
         if order.fence < self.fence:
             return StartOutcome.FENCED_OFF
         self.fence = order.fence
@@ -95,12 +102,12 @@
             return StartOutcome.INVALID
         if (order.name, order.run) in self.running:
             return StartOutcome.STARTED
-        if order.run <= self.refused.get(order.name, 0):
+        if order.run <= self.highest_runs.get(order.name, 0):
             return StartOutcome.RUN_TOO_OLD
-        if monotonic() > until_s:
+        if monotonic() > new_lease_end_s:
             return StartOutcome.TOO_LATE
-        self.lease_s = max(self.lease_s, until_s)
-        self.refused[order.name] = order.run
+        self.lease_end_s = max(self.lease_end_s, new_lease_end_s)
+        self.highest_runs[order.name] = order.run
         run = ModelRun(order.name, order.run, monotonic(), monotonic() + self.run_time_s)
         self.running[order.name, order.run] = run
         self._note(monotonic(), "start", order.name, order.run)
--- a/standins/serving.py
+++ b/standins/serving.py
@@ -1,4 +1,4 @@
-"""What the stand-ins share: listening, announcing their ports, and serving an application."""
+"""Listening, announcing ports and serving an application, shared by all stand-ins."""
 
 import json
 import socket
@@ -14,7 +14,7 @@
 
 
 def open_listener(host: str, port: int) -> socket.socket:
-    """Binds and listens, so that connections are queued from then on."""
+    """Returns a socket that listens and queues connections from then on."""
     listener = socket.create_server((host, port), backlog=BACKLOG)
     listener.setblocking(False)
     return listener
@@ -26,7 +26,7 @@
 
 
 def announce(**ports: int) -> None:
-    """Prints the ports as one JSON line, which tells the parent that they are listening."""
+    """Prints the ports as one JSON line, which signals the parent that they are listening."""
     print(json.dumps(ports), flush=True)
 
 
--- a/standins/store.py
+++ b/standins/store.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform: etcd's JSON gateway in memory and the list of VMs."""
+"""Stand-in for the platform: an in-memory etcd JSON gateway and the list of VMs."""
 
 import json
 from argparse import ArgumentParser
@@ -14,12 +14,12 @@
 from starlette.routing import Route
 
 from standins.gateway import (
+    GatewayError,
     Message,
-    RefusedError,
-    build_error,
-    decode,
-    describe,
-    describe_event,
+    build_error_response,
+    decode_field,
+    encode_event,
+    encode_key_value,
     invalid_argument,
     not_found,
     unavailable,
@@ -35,15 +35,15 @@
 
 
 class Switches(BaseModel):
-    """What goes wrong, or is asked for once; ``None`` leaves a switch as it is.
+    """Fault switches and one-time actions; ``None`` leaves a switch unchanged.
 
     :param outage: whether calls are refused or, with the mode ``silent``, hang.
-    :param delay_s: time by which each call takes effect later.
-    :param lose_answers: how many of the next writes take effect without an answer.
+    :param delay_s: delay before each call takes effect.
+    :param lose_answers: number of the next writes that take effect but get no response.
     :param revision_rollback: restores the state of the last ``POST /control/snapshot``.
     :param vms: rows of the list of VMs.
-    :param vms_lag_s: time after which a new list of VMs shows.
-    :param advance_s: moves the clock of the leases ahead.
+    :param vms_lag_s: time after which a new list of VMs becomes visible.
+    :param advance_s: advances the clock of the leases.
     """
 
     outage: bool | None = None
@@ -57,7 +57,7 @@
 
 
 class StoreApp:
-    """The application with its switches."""
+    """The gateway's handlers, their state and the fault switches."""
 
     def __init__(self) -> None:
         self.values = KeyValues()
@@ -65,14 +65,14 @@
         self.switches = Switches(
             outage=False, outage_mode="refuse", delay_s=0.0, lose_answers=0, vms_lag_s=0.0
         )
-        self.vms_shown: list[Message] = []
-        self.vms_versions: list[tuple[float, list[Message]]] = []
+        self.visible_vms: list[Message] = []
+        self.pending_vm_lists: list[tuple[float, list[Message]]] = []
         self.counts: Counter[str] = Counter()
         self.watches_open = 0
         self.outage_changed = anyio.Event()
 
     def routes(self) -> list[Route]:
-        """Lists all paths."""
+        """Returns the routes of all calls."""
         calls: dict[str, tuple[str, Handler]] = {
             "/v3/kv/range": ("range", self.run_range),
             "/v3/kv/txn": ("txn", self.run_txn),
@@ -82,7 +82,7 @@
             "/v3/lease/revoke": ("lease_revoke", self.revoke_lease),
         }
         routes = [
-            Route(path, self.build_endpoint(kind, handler), methods=["POST"])
+            Route(path, self.build_call_handler(kind, handler), methods=["POST"])
             for path, (kind, handler) in calls.items()
         ]
         return routes + [
@@ -93,32 +93,35 @@
             Route("/control/counts", self.show_counts),
         ]
 
-    def build_endpoint(
+    def build_call_handler(
         self, kind: str, handler: Handler
     ) -> Callable[[Request], Awaitable[Response]]:
-        """Wraps a call into what all calls have in common."""
+        """Wraps the handler of a call with parsing, fault injection and error responses."""
 
-        async def endpoint(request: Request) -> Response:
+        async def handle_call(request: Request) -> Response:
             message = json.loads(await request.body())
-            refusal = await self.meet_outage(kind, request)
+            refusal = await self.apply_outage(kind, request)
             if refusal is not None:
                 return refusal
             try:
-                self.values.end_lapsed_leases()
+                self.values.expire_leases()
                 response = handler(message)
-            except RefusedError as error:
-                return build_error(error)
+            except GatewayError as error:
+                return build_error_response(error)
             except LeaseNotFoundError:
-                return build_error(not_found("etcdserver: requested lease not found"))
-            if took_effect(kind, response) and self.switches.lose_answers:
+                return build_error_response(not_found("etcdserver: requested lease not found"))
+            if has_written(kind, response) and self.switches.lose_answers:
                 self.switches.lose_answers -= 1
                 self.drop_connection(request)
             return JSONResponse(response)
 
-        return endpoint
+        return handle_call
 
-    async def meet_outage(self, kind: str, request: Request) -> Response | None:
-        """Counts a call, then delays it, hangs or returns the refusal, as the switches say."""
+    async def apply_outage(self, kind: str, request: Request) -> Response | None:
+        """Counts a call and delays, hangs or refuses it, depending on the switches.
+
+        :return: the error response if the call is refused.
+        """
         self.counts[kind] += 1
         if self.switches.delay_s:
             await anyio.sleep(self.switches.delay_s)
@@ -126,34 +129,34 @@
             return None
         if self.switches.outage_mode == "silent":
             await wait_for_disconnect(request)
-        return build_error(unavailable("etcdserver: no leader"))
+        return build_error_response(unavailable("etcdserver: no leader"))
 
     def drop_connection(self, request: Request) -> None:
-        """Resets the caller's connection."""
+        """Resets the client's connection."""
         assert self.relay is not None and request.client is not None
         self.relay.connections[request.client.port].reset()
 
     def header(self) -> Message:
-        """Builds the header of an answer."""
+        """Returns the header of a response."""
         return {"revision": str(self.values.state.revision), "raft_term": "2"}
 
     def run_range(self, message: Message) -> Message:
-        """Reads a key or a range."""
-        found = self.values.select(decode(message, "key"), decode(message, "range_end"))
+        """Returns the values of a key or a range."""
+        found = self.values.select(decode_field(message, "key"), decode_field(message, "range_end"))
         answer = {"header": self.header(), "count": str(len(found))}
-        return answer | {"kvs": [describe(stored) for stored in found]} if found else answer
+        return answer | {"kvs": [encode_key_value(stored) for stored in found]} if found else answer
 
     def run_txn(self, message: Message) -> Message:
-        """Runs a transaction."""
-        succeeded = all(self.holds(compare) for compare in message.get("compare", []))
+        """Runs a transaction: the success or the failure branch, depending on its conditions."""
+        succeeded = all(self.is_condition_met(compare) for compare in message.get("compare", []))
         operations = message.get("success" if succeeded else "failure", [])
         responses = [self.run_operation(operation) for operation in operations]
         answer = {"header": self.header(), "responses": responses}
         return answer | {"succeeded": True} if succeeded else answer
 
-    def holds(self, compare: Message) -> bool:
-        """Tells whether a condition holds; an absent key has the revision 0."""
-        found = self.values.select(decode(compare, "key"), b"")
+    def is_condition_met(self, compare: Message) -> bool:
+        """Returns whether a condition of a transaction holds; an absent key has revision 0."""
+        found = self.values.select(decode_field(compare, "key"), b"")
         match compare["target"]:
             case "MOD":
                 actual = found[0].mod_revision if found else 0
@@ -170,49 +173,54 @@
             return {"response_put": {"header": self.header()}}
         if "request_delete_range" in operation:
             request = operation["request_delete_range"]
-            deleted = self.values.delete(decode(request, "key"), decode(request, "range_end"))
+            deleted = self.values.delete(
+                decode_field(request, "key"), decode_field(request, "range_end")
+            )
             return {"response_delete_range": {"header": self.header(), "deleted": str(deleted)}}
         return {"response_range": self.run_range(operation["request_range"])}
 
     def put(self, request: Message) -> None:
-        """Writes a key unless its value is too large."""
-        value = decode(request, "value")
+        """Writes a key.
+
+        :raises GatewayError: if the value is too large.
+        """
+        value = decode_field(request, "value")
         if len(value) > MAX_VALUE_BYTES:
             raise invalid_argument("etcdserver: request is too large")
-        self.values.put(decode(request, "key"), value, int(request.get("lease", 0)))
+        self.values.put(decode_field(request, "key"), value, int(request.get("lease", 0)))
 
     def compact(self, message: Message) -> Message:
-        """Forgets the changes below a revision."""
+        """Discards the history before a revision."""
         self.values.compact(int(message["revision"]))
         return {"header": self.header()}
 
     def grant_lease(self, message: Message) -> Message:
-        """Makes a lease."""
+        """Creates a lease."""
         lease_id = self.values.grant_lease(int(message["TTL"]))
         return {"header": self.header(), "ID": str(lease_id), "TTL": message["TTL"]}
 
     def renew_lease(self, message: Message) -> Message:
-        """Renews a lease; the answer has no TTL if it has lapsed."""
+        """Renews a lease; the response has no TTL if the lease has expired."""
         ttl_s = self.values.renew_lease(int(message["ID"]))
         result = {"header": self.header(), "ID": message["ID"]}
         return {"result": result | {"TTL": str(ttl_s)} if ttl_s else result}
 
     def revoke_lease(self, message: Message) -> Message:
-        """Ends a lease."""
+        """Revokes a lease and deletes its keys."""
         self.values.revoke_lease(int(message["ID"]))
         return {"header": self.header()}
 
     async def watch(self, request: Request) -> Response:
-        """Streams the changes in a range."""
+        """Handles a watch: streams the changes in a range."""
         message = json.loads(await request.body())["create_request"]
-        refusal = await self.meet_outage("watch", request)
+        refusal = await self.apply_outage("watch", request)
         if refusal is not None:
             return refusal
         return StreamingResponse(self.stream_changes(message), media_type="application/json")
 
     async def stream_changes(self, message: Message) -> AsyncIterator[str]:
-        """Yields the lines of a watch until an outage refuses calls."""
-        key, range_end = decode(message, "key"), decode(message, "range_end")
+        """Yields the lines of a watch until it is compacted away or an outage refuses calls."""
+        key, range_end = decode_field(message, "key"), decode_field(message, "range_end")
         revision = int(message.get("start_revision", 0)) or self.values.state.revision + 1
         self.watches_open += 1
         try:
@@ -223,7 +231,7 @@
                     revision = changes[-1].mod_revision + 1
                     if self.switches.outage:
                         await anyio.sleep_forever()
-                    yield self.watch_line(events=[describe_event(each) for each in changes])
+                    yield self.watch_line(events=[encode_event(each) for each in changes])
                 await changed.wait()
         except CompactedError:
             compacted = str(self.values.state.compact_revision)
@@ -232,72 +240,72 @@
             self.watches_open -= 1
 
     def is_refusing(self) -> bool:
-        """Tells whether calls are refused at present."""
+        """Returns whether an outage currently refuses calls."""
         return bool(self.switches.outage) and self.switches.outage_mode == "refuse"
 
     def watch_line(self, **result: Any) -> str:
-        """Builds one line of a watch's stream."""
+        """Returns one line of a watch's stream."""
         return json.dumps({"result": {"header": self.header(), **result}}) + "\n"
 
     async def list_vms(self, request: Request) -> Response:
-        """Shows the newest list of VMs that has passed the lag."""
-        refusal = await self.meet_outage("vms", request)
+        """Returns the newest list of VMs whose lag has elapsed."""
+        refusal = await self.apply_outage("vms", request)
         if refusal is not None:
             return refusal
-        while self.vms_versions and self.vms_versions[0][0] <= anyio.current_time():
-            self.vms_shown = self.vms_versions.pop(0)[1]
-        return JSONResponse({"vms": self.vms_shown})
+        while self.pending_vm_lists and self.pending_vm_lists[0][0] <= anyio.current_time():
+            self.visible_vms = self.pending_vm_lists.pop(0)[1]
+        return JSONResponse({"vms": self.visible_vms})
 
     async def control(self, request: Request) -> Response:
-        """Merges switches."""
-        given = Switches.model_validate_json(await request.body())
-        self.switches = self.switches.model_copy(update=given.model_dump(exclude_none=True))
-        if given.vms is not None:
-            shown_at_s = anyio.current_time() + (self.switches.vms_lag_s or 0.0)
-            self.vms_versions.append((shown_at_s, given.vms))
-        if given.revision_rollback:
+        """Applies the switches and one-time actions given in the request."""
+        changes = Switches.model_validate_json(await request.body())
+        self.switches = self.switches.model_copy(update=changes.model_dump(exclude_none=True))
+        if changes.vms is not None:
+            visible_at_s = anyio.current_time() + (self.switches.vms_lag_s or 0.0)
+            self.pending_vm_lists.append((visible_at_s, changes.vms))
+        if changes.revision_rollback:
             self.values.restore_snapshot()
-        self.values.clock_ahead_s += given.advance_s or 0.0
-        self.values.end_lapsed_leases()
+        self.values.clock_offset_s += changes.advance_s or 0.0
+        self.values.expire_leases()
         self.values.notify_watches()
         return JSONResponse({})
 
     async def take_snapshot(self, _request: Request) -> Response:
-        """Keeps the state for a later rollback."""
+        """Saves the state for a later rollback."""
         self.values.take_snapshot()
         return JSONResponse({})
 
     async def show_counts(self, _request: Request) -> Response:
-        """Shows how many calls of each kind came; each watch is one call."""
+        """Returns the number of calls of each kind; a watch counts as one call."""
         return JSONResponse({"calls": self.counts, "watches_open": self.watches_open})
 
-    async def end_lapsed_leases(self) -> None:
-        """Ends lapsed leases while no call comes."""
+    async def expire_leases(self) -> None:
+        """Periodically revokes expired leases, also while no calls arrive."""
         while True:
             await anyio.sleep(LEASE_CHECK_INTERVAL_S)
-            self.values.end_lapsed_leases()
+            self.values.expire_leases()
 
 
 async def wait_for_disconnect(request: Request) -> None:
-    """Waits until the caller goes away."""
+    """Waits until the client disconnects."""
     while (await request.receive())["type"] != "http.disconnect":
         pass
 
 
-def took_effect(kind: str, response: Message) -> bool:
-    """Tells whether a call has written something."""
+def has_written(kind: str, response: Message) -> bool:
+    """Returns whether a call has changed the store."""
     return kind in ("lease_grant", "lease_revoke") or bool(response.get("succeeded"))
 
 
 async def main(host: str, port: int) -> None:
-    """Runs the stand-in behind a relay, which can end single connections."""
+    """Runs the stand-in behind a relay that can reset single connections."""
     store = StoreApp()
     listener = open_listener(host, 0)
     store.relay = Relay(host, port, host, port_of(listener))
     announce(port=store.relay.port)
     async with anyio.create_task_group() as group:
         group.start_soon(store.relay.run)
-        group.start_soon(store.end_lapsed_leases)
+        group.start_soon(store.expire_leases)
         group.start_soon(serve_app, Starlette(routes=store.routes()), listener)
 
 
--- a/tests/standins/endpoint.feature
+++ b/tests/standins/endpoint.feature
@@ -25,7 +25,7 @@
     Then the stand-in refuses with "leaving"
     And the log of the stand-in has "refuse t1 503"
 
-  Scenario: Beyond its connections it closes new ones
+  Scenario: It closes new connections beyond its limit
     When two connections to the stand-in are open
     Then a third connection to the stand-in is closed
 
@@ -34,7 +34,7 @@
     Then the stand-in gives "ReadTimeout" to the task "t1"
     And the log of the stand-in has ""
 
-  Scenario: It fails everything at once
+  Scenario: It fails all tasks without running them
     When the stand-in's switches are {"fail_everything": true}
     And the stand-in gets the task "t1" with {"run_time_s": 3600}
     Then the stand-in answers 500
@@ -52,7 +52,7 @@
   Scenario: A connection that its client has closed does not count any more
     When two connections to the stand-in are open
     And both of them are closed
-    Then a new connection to the stand-in is served in the end
+    Then a new connection to the stand-in is eventually served
 
   Scenario: Open connections go silent while new ones work
     When an open connection to the stand-in has gone silent
--- a/tests/standins/relay.feature
+++ b/tests/standins/relay.feature
@@ -7,13 +7,13 @@
     And a new connection to the relay gives "ConnectError"
     And after the relay's switches are {"cut": false} a task through it gets its answer
 
-  Scenario: Silence holds for the open connections only
+  Scenario: Only the open connections go silent
     Given a relay to an endpoint stand-in
     Then a task through the relay gets its answer
     And after the relay's switches are {"silent": true} its open connection is silent
     And a task through a new connection to the relay gets its answer
 
-  Scenario: A lost chunk silences its connection
+  Scenario: A connection is silent after a lost chunk
     Given a relay to an endpoint stand-in
     Then a task through the relay gets its answer
     And after the relay's switches are {"lose_share": 1} its open connection is silent
--- a/tests/steps/bench_steps.py
+++ b/tests/steps/bench_steps.py
@@ -8,7 +8,7 @@
 
 
 @when(
-    "the bound is worked out for tasks of {work:g} s of work at {a:g}, {b:g} and {c:g} s with "
+    "the bound is computed for tasks of {work:g} s of work at {a:g}, {b:g} and {c:g} s with "
     "{fast_slots:d} slot of speed {fast:g} and {slow_slots:d} of speed {slow:g}"
 )
 def step_bound(context, work, a, b, c, fast_slots, fast, slow_slots, slow):
@@ -22,8 +22,8 @@
 
 
 @when(
-    "a task that came at {arrived:g} s runs from {start:g} to {end:g} s on one of {slots:d} slots "
-    "until {duration:g} s"
+    "a task that arrived at {arrived:g} s runs from {start:g} to {end:g} s on one of {slots:d} "
+    "slots until {duration:g} s"
 )
 def step_idle(context, arrived, start, end, slots, duration):
     interval = Interval(arrived, start, end)
@@ -49,6 +49,6 @@
     ]
 
 
-@then("the first two are the same and the third differs")
+@then("the first two draws are the same and the third differs")
 def step_same_draws(context):
     assert context.draws[0] == context.draws[1] != context.draws[2]
--- a/tests/steps/durable_holder_steps.py
+++ b/tests/steps/durable_holder_steps.py
@@ -135,7 +135,7 @@
 @given(r'every run of job "(?P<name>\w+)" fails')
 def step_impl(context, name):
     for endpoint in context.holder_world.endpoints:
-        endpoint.kinds[name] = EndKind.FAILED
+        endpoint.end_kinds_by_job[name] = EndKind.FAILED
 
 
 @given(r'every order of job "(?P<name>\w+)" is rejected')
@@ -375,7 +375,7 @@
     world = context.holder_world
     for endpoint in world.endpoints:
         # Without calls, an endpoint does not notice that its lease has lapsed.
-        world.portal.call(endpoint.settle)
+        world.portal.call(endpoint.end_due_runs)
     events = [event for endpoint in world.endpoints for event in endpoint.history]
     overlaps = find_overlaps(event for event in events if event[2].job_id == name)
     assert not overlaps, (overlaps, sorted(events))
--- a/tests/steps/platform_soak_steps.py
+++ b/tests/steps/platform_soak_steps.py
@@ -2,12 +2,12 @@
 
 from behave import then, when
 
-from tools.soak.__main__ import play
+from tools.soak.__main__ import run_seed
 
 
 @when("the soak plays seed {seed:d} for {length_s:g} s")
 def step_play(context, seed, length_s):
-    context.problems = play(seed, length_s, context.folder)
+    context.problems = run_seed(seed, length_s, context.folder)
 
 
 @then("every promise was kept")
--- a/tests/steps/standins_steps.py
+++ b/tests/steps/standins_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the stand-ins themselves."""
+"""Steps for the tests of the stand-ins."""
 
 import json
 import socket
@@ -12,7 +12,7 @@
 from standins.process import ManagedProcess, ProcessStartError
 
 TIMEOUT_S = 30.0
-SILENCE_S = 0.3  # an answer that never comes is waited for this long
+SILENCE_S = 0.3  # time without a response after which a connection counts as silent
 POLL_INTERVAL_S = 0.01
 MAX_POLLS = 3000
 MAX_CONNECTION_TRIES = 300
@@ -20,7 +20,7 @@
 
 
 def start_process(context, name, *arguments):
-    """Starts a stand-in that ends with the scenario."""
+    """Starts a stand-in that is killed at the end of the scenario."""
     process = ManagedProcess(name, ["-m", *arguments], context.folder)
     context.add_cleanup(process.kill)
     process.start()
@@ -28,7 +28,7 @@
 
 
 def start_endpoint(context, *arguments):
-    """Starts an endpoint stand-in with a log and a client."""
+    """Starts an endpoint stand-in with a log, and an HTTP client."""
     folder = TemporaryDirectory()
     context.add_cleanup(folder.cleanup)
     context.folder = Path(folder.name)
@@ -46,13 +46,13 @@
 
 
 def set_switches(process, text):
-    """Merges switches into a stand-in's."""
+    """Sets switches of a stand-in, given as JSON."""
     response = httpx.put(process.control_url + "/control", json=json.loads(text), timeout=TIMEOUT_S)
     response.raise_for_status()
 
 
 def find_error(client, url, task_id, timeout_s=TIMEOUT_S):
-    """Returns the name of the error that a task meets; empty if none."""
+    """Sends a task and returns the class name of its error, or an empty string."""
     try:
         post_task(client, url, task_id, {}, timeout_s)
     except httpx.HTTPError as error:
@@ -61,7 +61,7 @@
 
 
 def read_log(context):
-    """Reads the endpoint stand-in's log in the short form of the features."""
+    """Returns the endpoint stand-in's log in the short form used in the features."""
     lines = [json.loads(line) for line in context.log_path.read_text().splitlines()]
     words = [(line["event"], line["task_id"], line["status"]) for line in lines]
     return ", ".join(" ".join(str(word) for word in each if word is not None) for each in words)
@@ -135,7 +135,7 @@
 
 
 def open_connection(context):
-    """Opens a connection to the endpoint stand-in that ends with the scenario."""
+    """Opens a connection to the endpoint stand-in that is closed after the scenario."""
     address = ("127.0.0.1", context.endpoint.announced["port"])
     connection = socket.create_connection(address, TIMEOUT_S)
     context.add_cleanup(connection.close)
@@ -155,14 +155,14 @@
 @when("both of them are closed")
 def step_close_both(context):
     for connection in context.standin_connections:
-        # Nothing may be left to read, or the end would be a reset.
+        # Reads the whole response; closing with unread data would send a reset.
         while b"}" not in connection.recv(READ_BYTES):
             pass
         connection.close()
 
 
-@then("a new connection to the stand-in is served in the end")
-def step_served_in_the_end(context):
+@then("a new connection to the stand-in is eventually served")
+def step_eventually_served(context):
     for _ in range(MAX_CONNECTION_TRIES):
         connection = open_connection(context)
         connection.sendall(b"GET /healthz HTTP/1.1\r\nHost: e\r\n\r\n")
--- a/tests/steps/tools_soak_steps.py
+++ b/tests/steps/tools_soak_steps.py
@@ -1,11 +1,11 @@
-"""Steps for the judgement and the schedules of the soak."""
+"""Steps for the checks and the schedules of the soak."""
 
 from itertools import pairwise
 
 from behave import given, then, use_step_matcher, when
 
 from tools.soak.callers import Call, SoakJob
-from tools.soak.judge import judge
+from tools.soak.judge import find_violations
 from tools.soak.schedule import (
     DAEMON_KINDS,
     RUNNER_KINDS,
@@ -22,34 +22,34 @@
 use_step_matcher("re")
 
 
-def make_job(context, told):
-    """Makes a job and what became of its one call."""
-    is_kept = told.startswith("accepted, kept")
+def make_job(context, outcome):
+    """Creates a job with one call, and the faults and final states, from a description."""
+    is_durable = outcome.startswith("accepted, durable")
     call = Call(0, SENT_S, ENDED_S, 200)
-    if told.startswith("answered"):
-        _, status, state = (told + " ").split(" ", 2)
+    if outcome.startswith("answered"):
+        _, status, state = (outcome + " ").split(" ", 2)
         call = Call(0, SENT_S, ENDED_S, int(status), state.strip())
-    elif told.startswith("broken off"):
+    elif outcome.startswith("broken off"):
         call = Call(0, SENT_S, ENDED_S, 0, problem="RemoteProtocolError")
-    elif told.startswith("left"):
+    elif outcome.startswith("left"):
         call = Call(0, SENT_S, SENT_S + 8, 0, problem="ReadTimeout")
-    if told.endswith("was killed"):
-        context.down = [(0, 4.9, 6.0)]
-    elif told.endswith("while it stopped"):
-        context.stopped = [(0, 0.4, 8.0)]
-    elif told.endswith("process ended"):
-        context.stopped = [(0, 0.4, 5.1)]
-    if is_kept:
+    if outcome.endswith("was killed"):
+        context.down_spans = [(0, 4.9, 6.0)]
+    elif outcome.endswith("while it stopped"):
+        context.stop_spans = [(0, 0.4, 8.0)]
+    elif outcome.endswith("process ended"):
+        context.stop_spans = [(0, 0.4, 5.1)]
+    if is_durable:
         context.final_states = {JOB_ID: {"completed"}}
-    if told.endswith("410 by one"):
+    if outcome.endswith("410 by one"):
         context.final_states = {JOB_ID: {"completed", "410"}}
-    return SoakJob(JOB_ID, 1, is_kept, [call])
+    return SoakJob(JOB_ID, 1, is_durable, [call])
 
 
-@given(r"a job of 1 task that was (?P<told>.+) and whose runs were (?P<runs>.+)")
-def step_impl(context, told, runs):
-    context.down, context.stopped, context.final_states = [], [], {}
-    context.job = make_job(context, told)
+@given(r"a job of 1 task that was (?P<outcome>.+) and whose runs were (?P<runs>.+)")
+def step_impl(context, outcome, runs):
+    context.down_spans, context.stop_spans, context.final_states = [], [], {}
+    context.job = make_job(context, outcome)
     context.runs = []
     for number, row in enumerate([] if runs == "none" else runs.split(", ")):
         begin_s, _, end_s, kind = row.split()
@@ -58,14 +58,14 @@
     context.runs.sort()
 
 
-@when(r"the soak is judged")
+@when(r"the guarantees of the soak are checked")
 def step_impl(context):
-    context.problems = judge(
-        [context.job], context.runs, context.down, context.stopped, context.final_states
+    context.problems = find_violations(
+        [context.job], context.runs, context.down_spans, context.stop_spans, context.final_states
     )
 
 
-@then(r"(?P<finding>nothing|\".+\") is found")
+@then(r"(?P<finding>nothing|\".+\") is reported")
 def step_impl(context, finding):
     if finding == "nothing":
         assert not context.problems, context.problems
@@ -81,7 +81,7 @@
     assert all(fault.end_s <= LENGTH_S for schedule in schedules for fault in schedule)
 
 
-@then(r"within 60 seeds each kind of fault comes, some at the same time and some in series")
+@then(r"60 seeds inject each kind of fault, some at the same time and some in series")
 def step_impl(context):
     schedules = [make_schedule(seed, LENGTH_S, 4, 5) for seed in range(60)]
     kinds = {fault.kind for schedule in schedules for fault in schedule}
--- a/tests/steps/tools_steps.py
+++ b/tests/steps/tools_steps.py
@@ -19,7 +19,7 @@
     )
 
 
-@then("it held every condition")
+@then("the schedule held every condition")
 def step_held(context):
     output = context.prove.stdout
     last = output.splitlines()[-1] if output else ""
--- a/tests/support/endpoint_world.py
+++ b/tests/support/endpoint_world.py
@@ -73,13 +73,13 @@
         self._check(fence)
         endpoint = self.endpoint
         if extend:
-            endpoint.lease_s = max(endpoint.lease_s, self._granted_s)
+            endpoint.lease_end_s = max(endpoint.lease_end_s, self._granted_s)
         endpoint.acknowledge(acknowledged)
         until_s = monotonic() + wait_s
         while not endpoint.ended and monotonic() < until_s:
             with move_on_after(0.005):
                 await endpoint.changed.wait()
-            endpoint.settle()
+            endpoint.end_due_runs()
         self._check(fence)
         running = [RunningTask(r.name, r.run, "", r.percent()) for r in endpoint.running.values()]
         return EndpointReport(0, sent_s, tuple(running), tuple(endpoint.ended))
@@ -88,7 +88,7 @@
         """Has nothing to close."""
 
     def _check(self, fence: int) -> None:
-        self.endpoint.settle()
+        self.endpoint.end_due_runs()
         if fence in self.endpoint.cut_fences:
             raise EndpointCallError("cut off")
         if fence < self.endpoint.fence:
--- a/tests/support/proving_cluster.py
+++ b/tests/support/proving_cluster.py
@@ -100,7 +100,7 @@
         self.changed_endpoints.clear()
         for daemon in self.daemons:
             self.wait_until(
-                lambda daemon=daemon: self._is_settled(daemon), daemon.name, STATE_TIMEOUT_S
+                lambda daemon=daemon: self._has_converged(daemon), daemon.name, STATE_TIMEOUT_S
             )
 
     def change_record(self, kind: str, name: str, daemon: int = 0, **fields: object) -> None:
--- a/tests/tools/prove.feature
+++ b/tests/tools/prove.feature
@@ -1,5 +1,5 @@
 Feature: All conditions hold under a random schedule of faults
 
-  Scenario: The schedule of a fixed seed breaks no condition
+  Scenario: The schedule of a fixed seed violates no condition
     When the random schedule of seed 1 is run
-    Then it held every condition
+    Then the schedule held every condition
--- a/tools/__init__.py
+++ b/tools/__init__.py
@@ -1,1 +1,1 @@
-"""Development tools: the test runner and the demonstration."""
+"""Development tools: test runner, demonstration, benchmarks and fault tests."""
--- a/tools/bench/__init__.py
+++ b/tools/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measures the placement decisions on real processes, against simple policies and a bound."""
+"""Compares the placement on real processes with simple policies and a theoretical bound."""
--- a/tools/bench/__main__.py
+++ b/tools/bench/__main__.py
@@ -1,4 +1,4 @@
-"""Runs ``python -m tools.bench --scenario steady-70 --seed 1``."""
+"""Runs one scenario of the benchmark: ``python -m tools.bench --scenario steady-70 --seed 1``."""
 
 import json
 from argparse import ArgumentParser
@@ -6,7 +6,7 @@
 from pathlib import Path
 from tempfile import TemporaryDirectory
 
-from tools.bench.arrivals import Arrival, draw_arrivals, expect_run_time_s
+from tools.bench.arrivals import Arrival, compute_mean_run_time_s, draw_arrivals
 from tools.bench.bound import Bound, compute_bound
 from tools.bench.idleness import compute_idle_while_waiting
 from tools.bench.scenarios import SCENARIOS, Scenario
@@ -17,10 +17,10 @@
 
 
 def draw_scenario_arrivals(scenario: Scenario, seed: int) -> list[Arrival]:
-    """Draws the arrivals that give a scenario's load."""
+    """Draws the arrivals that produce a scenario's load."""
     fastest_speed = max(scenario.speeds)
     capacity = sum(speed * slots for speed, slots in scenario.slots_by_speed.items())
-    mean_work_s = expect_run_time_s() * fastest_speed
+    mean_work_s = compute_mean_run_time_s() * fastest_speed
     return draw_arrivals(
         seed,
         tasks_per_s=scenario.load * capacity / mean_work_s,
@@ -32,11 +32,11 @@
 
 
 def run_scenario(scenario: Scenario, seed: int, policies: list[str], folder: Path) -> dict:
-    """Runs all policies and returns the report."""
+    """Runs all policies on the same arrivals and returns the report."""
     arrivals = draw_scenario_arrivals(scenario, seed)
     bound = compute_bound(arrivals, scenario.slots_by_speed)
     with BenchSystem(scenario, arrivals, folder) as system:
-        # The baselines go first, as the product's daemons keep connections for some seconds.
+        # The baselines run first because the product's daemons keep connections for some seconds.
         runs = {policy: system.run_policy(policy) for policy in reversed(policies)}
     summaries = {policy: summarize(scenario, arrivals, runs[policy]) for policy in policies}
     return make_report(scenario, seed, arrivals, bound, summaries)
@@ -49,8 +49,8 @@
     bound: Bound,
     summaries: dict[str, PolicySummary],
 ) -> dict:
-    """Makes the object of the last line."""
-    idle = compute_idle_while_waiting(bound.intervals, scenario.all_slots, scenario.duration_s)
+    """Builds the report that is printed as JSON in the last line of the output."""
+    idle = compute_idle_while_waiting(bound.intervals, scenario.total_slots, scenario.duration_s)
     return {
         "scenario": scenario.name,
         "seed": seed,
@@ -64,7 +64,7 @@
 
 
 def print_table(report: dict) -> None:
-    """Prints the figures for people."""
+    """Prints the report as a table."""
     print(f"{report['scenario']}, seed {report['seed']}, {report['arrivals']} arrivals")
     print(ROW.format("policy", "p50", "p99", "wasted", "idle", "done", "failed", "not run"))
     bound = (report["bound_p50"], report["bound_p99"], "", report["bound_idle_while_waiting"])
@@ -81,7 +81,9 @@
     parser.add_argument("--scenario", choices=SCENARIOS, default="steady-70")
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--policies", default=",".join((PRODUCT, *BASELINES)))
-    parser.add_argument("--folder", type=Path, help="keeps what the processes write there")
+    parser.add_argument(
+        "--folder", type=Path, help="folder that keeps the files written by the processes"
+    )
     arguments = parser.parse_args()
     with TemporaryDirectory() as temporary:
         folder = arguments.folder or Path(temporary)
--- a/tools/bench/arrivals.py
+++ b/tools/bench/arrivals.py
@@ -1,4 +1,4 @@
-"""Seeded arrivals of requests and jobs, the same for every policy."""
+"""Generates seeded arrivals of requests and jobs, identical for every policy."""
 
 import json
 from dataclasses import asdict, dataclass
@@ -14,9 +14,9 @@
 class Arrival:
     """One request or job.
 
-    :param at_s: time from the start of the run.
-    :param daemon: number of the daemon that gets it.
-    :param work_s: run time at speed 1 of each task; one task is sent as a single request.
+    :param at_s: time since the start of the run.
+    :param daemon: number of the daemon that the arrival is sent to.
+    :param work_s: run time of each task at speed 1; one task is sent as a single request.
     """
 
     at_s: float
@@ -25,13 +25,13 @@
 
 
 def draw_run_time_s(random: Random) -> float:
-    """Draws a run time on the fastest endpoint: 50 ms and an exponential part, 1 s at most."""
+    """Draws a run time on the fastest endpoint: 50 ms plus an exponential part, at most 1 s."""
     extra_s = random.expovariate(1 / MEAN_EXTRA_RUN_TIME_S)
     return min(SHORTEST_RUN_TIME_S + extra_s, LONGEST_RUN_TIME_S)
 
 
-def expect_run_time_s() -> float:
-    """The mean of :func:`draw_run_time_s`, but for the cut at its end."""
+def compute_mean_run_time_s() -> float:
+    """Returns the mean of :func:`draw_run_time_s`, ignoring its upper limit."""
     return SHORTEST_RUN_TIME_S + MEAN_EXTRA_RUN_TIME_S
 
 
@@ -44,7 +44,7 @@
     fastest_speed: float,
     tasks_per_job: int = 1,
 ) -> list[Arrival]:
-    """Draws Poisson arrivals at random daemons."""
+    """Draws Poisson arrivals at randomly chosen daemons."""
     random = Random(seed)
     daemons = range(len(daemon_weights))
     arrivals = []
@@ -64,6 +64,6 @@
 
 
 def read_arrivals(path: Path) -> list[Arrival]:
-    """Reads what :func:`write_arrivals` wrote."""
+    """Reads arrivals written by :func:`write_arrivals`."""
     rows = json.loads(path.read_text())
     return [Arrival(row["at_s"], row["daemon"], tuple(row["work_s"])) for row in rows]
--- a/tools/bench/baseline.py
+++ b/tools/bench/baseline.py
@@ -1,7 +1,7 @@
-"""A daemon that knows nothing of the others: it sends to a random or to the next endpoint.
+"""A baseline daemon without coordination: it chooses endpoints randomly or by round robin.
 
-It keeps at most its share of each endpoint's connections busy and takes a refusal for want of room
-to the next choice, waiting a little after each round of refusals.
+It uses at most its share of each endpoint's connections. A task that an endpoint refuses is sent to
+the next choice, with a short pause after each round of refusals.
 """
 
 import json
@@ -19,27 +19,27 @@
 from starlette.routing import Route
 
 from standins.serving import announce, open_listener, port_of, serve_app
-from tools.bench.caller import Answer, Caller
+from tools.bench.caller import Answer, HttpClient
 
-ROUND_PAUSE_S = 0.005
+RETRY_ROUND_PAUSE_S = 0.005
 TASK_TIMEOUT_S = 30.0
 STATUS_OK, STATUS_FAILED, STATUS_UNAVAILABLE = 200, 502, 503
 
 
 class Endpoint:
-    """An endpoint as one baseline daemon sees it.
+    """An endpoint, with the requests that this daemon has in progress there.
 
-    :param connections: how many requests this daemon may have at it.
+    :param connections: limit of this daemon's concurrent requests to the endpoint.
     """
 
     def __init__(self, url: str, connections: int) -> None:
-        self.caller = Caller(url)
+        self.http_client = HttpClient(url)
         self.connections = connections
         self.busy = 0
 
 
 def make_chooser(policy: str, seed: int, endpoints: int) -> Callable[[], int]:
-    """Makes the function that chooses an endpoint's number."""
+    """Returns the function that chooses the number of the next endpoint to try."""
     if policy == "random":
         random = Random(seed)
         return lambda: random.randrange(endpoints)
@@ -48,7 +48,7 @@
 
 
 class BaselineDaemon:
-    """Serves requests and jobs like the product's daemon, with a simple choice of endpoints."""
+    """Serves requests and jobs like a berylproxy daemon, with a simple choice of endpoints."""
 
     def __init__(self, endpoints: list[Endpoint], choose: Callable[[], int]) -> None:
         self._endpoints = endpoints
@@ -57,7 +57,7 @@
         self._counts: Counter[str] = Counter()
 
     def routes(self) -> list[Route]:
-        """Lists all paths."""
+        """Returns the routes of the HTTP API."""
         return [
             Route("/v1/services/{service}/requests", self.request, methods=["POST"]),
             Route("/v1/jobs", self.submit, methods=["POST"]),
@@ -65,13 +65,13 @@
         ]
 
     async def request(self, request: Request) -> Response:
-        """Serves a single request."""
+        """Handles a single request."""
         answer = await self._run_task(await request.body())
         outcome = {STATUS_OK: "done", STATUS_UNAVAILABLE: "not_run"}.get(answer.status, "failed")
         return Response(answer.body, answer.status, {"Berylproxy-Outcome": outcome})
 
     async def submit(self, request: Request) -> Response:
-        """Serves a job."""
+        """Handles a job."""
         tasks = json.loads(await request.body())["tasks"]
         answers: dict[str, Answer] = {}
 
@@ -89,7 +89,7 @@
         return JSONResponse({"outcome": "done", "results": results})
 
     async def show_counts(self, _request: Request) -> Response:
-        """Shows the messages that carried no useful work."""
+        """Returns the numbers of messages that carried no useful work, by kind."""
         return JSONResponse(self._counts)
 
     async def _run_task(self, body: bytes) -> Answer:
@@ -97,20 +97,24 @@
         with anyio.move_on_after(TASK_TIMEOUT_S):
             while True:
                 for _ in self._endpoints:
-                    answer = await self._try(self._endpoints[self._choose()], body, headers)
+                    answer = await self._try_endpoint(
+                        self._endpoints[self._choose()], body, headers
+                    )
                     if answer is not None:
                         return answer
-                await anyio.sleep(ROUND_PAUSE_S)
+                await anyio.sleep(RETRY_ROUND_PAUSE_S)
         return Answer(STATUS_FAILED, {}, b"")
 
-    async def _try(self, endpoint: Endpoint, body: bytes, headers: dict[str, str]) -> Answer | None:
+    async def _try_endpoint(
+        self, endpoint: Endpoint, body: bytes, headers: dict[str, str]
+    ) -> Answer | None:
         if endpoint.busy >= endpoint.connections:
             return None
         endpoint.busy += 1
         try:
-            answer = await endpoint.caller.send("POST", "/v1/tasks", body, headers)
+            answer = await endpoint.http_client.send("POST", "/v1/tasks", body, headers)
         except (ConnectError, ReadError, RemoteProtocolError):
-            # The stand-ins close connections beyond their limit at once; nothing has run then.
+            # The stand-ins close connections beyond their limit before a task has run.
             self._counts["closed_connection"] += 1
             return None
         finally:
--- a/tools/bench/bound.py
+++ b/tools/bench/bound.py
@@ -1,7 +1,8 @@
-"""What one clairvoyant dispatcher would achieve on the same arrivals.
+"""Computes a bound: the slowdowns of a clairvoyant dispatcher on the same arrivals.
 
-It has a single queue, knows run times and speeds exactly, and its messages take no time. Each task
-gets, in the order of arrival, the slot where it ends soonest; within a job the longest go first.
+The dispatcher has a single queue, knows run times and speeds exactly, and its messages take no
+time. In the order of arrival, each task is assigned to the slot where it ends soonest; within a job
+the longest tasks are assigned first.
 """
 
 from collections.abc import Iterable
@@ -13,10 +14,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Interval:
-    """One task at a slot.
+    """The waiting and running time of one task.
 
-    :param arrived_s: when it came.
-    :param started_s: when its slot was free for it.
+    :param arrived_s: when the task arrived.
+    :param started_s: when its slot became free and the task started.
     """
 
     arrived_s: float
@@ -26,9 +27,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Bound:
-    """The result.
+    """The assignment of all tasks.
 
-    :param slowdowns: one for each arrival.
+    :param slowdowns: for each arrival, its latency relative to its run time on an idle system.
     """
 
     slowdowns: list[float]
@@ -36,9 +37,9 @@
 
 
 def compute_bound(arrivals: Iterable[Arrival], slots_by_speed: dict[float, int]) -> Bound:
-    """Assigns all tasks.
+    """Assigns all tasks to slots.
 
-    :param slots_by_speed: how many slots there are of each speed.
+    :param slots_by_speed: number of slots of each speed.
     """
     free_at_s = {speed: [0.0] * slots for speed, slots in slots_by_speed.items()}
     for heap in free_at_s.values():
--- a/tools/bench/caller.py
+++ b/tools/bench/caller.py
@@ -1,4 +1,4 @@
-"""Sends requests to one address over kept connections, one request at a time on each."""
+"""An HTTP client with persistent connections, each with one request at a time."""
 
 from dataclasses import dataclass
 from time import monotonic
@@ -11,15 +11,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """A whole answer; the headers' names are in lower case."""
+    """A complete response; header names are in lower case."""
 
     status: int
     headers: dict[str, str]
     body: bytes
 
 
-class Caller:
-    """Keeps the connections to one address.
+class HttpClient:
+    """Sends requests to one address and reuses its idle connections.
 
     :param url: base URL.
     """
@@ -33,8 +33,8 @@
     async def send(
         self, method: str, path: str, body: bytes, headers: dict[str, str] | None = None
     ) -> Answer:
-        """Sends a request and returns the answer; the library's errors go through."""
-        connection = self._take()
+        """Sends a request and returns the response; errors of httpcore propagate."""
+        connection = self._acquire_connection()
         try:
             response = await connection.handle_async_request(
                 self._make_request(method, path, body, headers or {})
@@ -63,7 +63,7 @@
         pairs += [(name.encode(), value.encode()) for name, value in headers.items()]
         return Request(method, url, headers=pairs, content=body)
 
-    def _take(self) -> AsyncHTTPConnection:
+    def _acquire_connection(self) -> AsyncHTTPConnection:
         while self._idle:
             since_s, connection = self._idle.pop()
             is_fresh = monotonic() - since_s < MAX_IDLE_S
--- a/tools/bench/idleness.py
+++ b/tools/bench/idleness.py
@@ -1,4 +1,4 @@
-"""The share of slot time that was idle while a task waited elsewhere."""
+"""Computes the share of slot time that was idle while a task waited elsewhere."""
 
 from collections.abc import Iterable
 
@@ -8,9 +8,10 @@
 def compute_idle_while_waiting(
     intervals: Iterable[Interval], slots: int, duration_s: float
 ) -> float:
-    """Integrates the lesser of idle slots and waiting tasks over the time of arrivals.
+    """Integrates the minimum of idle slots and waiting tasks over the duration of the arrivals.
 
-    :param duration_s: end of the arrivals, counted from 0.
+    :param duration_s: duration of the arrivals; the integral covers the times from 0 to it.
+    :return: the integral as a share of all slot time.
     """
     changes: list[tuple[float, int, int]] = []
     for interval in intervals:
--- a/tools/bench/load.py
+++ b/tools/bench/load.py
@@ -1,4 +1,4 @@
-"""Sends recorded arrivals to daemons over kept connections and writes what came back."""
+"""Sends recorded arrivals to daemons over persistent connections and writes the results."""
 
 import json
 from argparse import ArgumentParser, Namespace
@@ -10,7 +10,7 @@
 from standins.cluster import SERVICE
 from standins.serving import announce
 from tools.bench.arrivals import Arrival, read_arrivals
-from tools.bench.caller import Answer, Caller
+from tools.bench.caller import Answer, HttpClient
 
 START_DELAY_S = 0.5
 RUN_TIMEOUT_S = 60.0
@@ -18,20 +18,20 @@
 
 
 class LoadProgram:
-    """Sends each arrival at its time, whatever became of the earlier ones."""
+    """Open-loop load generator: sends each arrival at its time, regardless of earlier ones."""
 
     def __init__(self, urls: list[str], arrivals: list[Arrival]) -> None:
-        self._callers = [Caller(url) for url in urls]
+        self._http_clients = [HttpClient(url) for url in urls]
         self._arrivals = arrivals
         self.rows: list[dict] = []
 
     async def run(self) -> None:
-        """Sends everything and waits for the answers."""
-        began_s = monotonic() + START_DELAY_S
+        """Sends all arrivals and waits for the responses."""
+        start_s = monotonic() + START_DELAY_S
         with anyio.move_on_after(RUN_TIMEOUT_S):
             async with anyio.create_task_group() as group:
                 for number, arrival in enumerate(self._arrivals):
-                    due_s = began_s + arrival.at_s
+                    due_s = start_s + arrival.at_s
                     await anyio.sleep(max(0.0, due_s - monotonic()))
                     group.start_soon(self._send, number, arrival, due_s)
 
@@ -46,32 +46,32 @@
         row["ended_s"] = monotonic()
 
     async def _exchange(self, arrival: Arrival) -> dict:
-        caller = self._callers[arrival.daemon % len(self._callers)]
+        http_client = self._http_clients[arrival.daemon % len(self._http_clients)]
         if len(arrival.work_s) == 1:
-            return await self._request(caller, arrival.work_s[0])
-        return await self._submit(caller, arrival.work_s)
+            return await self._request(http_client, arrival.work_s[0])
+        return await self._submit(http_client, arrival.work_s)
 
-    async def _request(self, caller: Caller, work_s: float) -> dict:
+    async def _request(self, http_client: HttpClient, work_s: float) -> dict:
         body = json.dumps({"run_time_s": work_s}).encode()
-        answer = await caller.send("POST", f"/v1/services/{SERVICE}/requests", body)
+        answer = await http_client.send("POST", f"/v1/services/{SERVICE}/requests", body)
         outcome = answer.headers.get("berylproxy-outcome", "")
         payloads = [json.loads(answer.body)] if answer.status == STATUS_OK else []
-        return describe(outcome, answer, payloads)
+        return describe_answer(outcome, answer, payloads)
 
-    async def _submit(self, caller: Caller, work_s: tuple[float, ...]) -> dict:
+    async def _submit(self, http_client: HttpClient, work_s: tuple[float, ...]) -> dict:
         tasks = [
             {"id": f"t{number}", "payload": {"run_time_s": run_time_s}}
             for number, run_time_s in enumerate(work_s)
         ]
         body = json.dumps({"service": SERVICE, "tasks": tasks}).encode()
-        answer = await caller.send("POST", "/v1/jobs", body)
+        answer = await http_client.send("POST", "/v1/jobs", body)
         content = json.loads(answer.body)
         payloads = [result["payload"] for result in content.get("results", [])]
-        return describe(content["outcome"], answer, payloads)
+        return describe_answer(content["outcome"], answer, payloads)
 
 
-def describe(outcome: str, answer: Answer, payloads: list[dict]) -> dict:
-    """Makes the part of a row that an answer gives."""
+def describe_answer(outcome: str, answer: Answer, payloads: list[dict]) -> dict:
+    """Returns the fields of a result row that come from a response."""
     return {
         "outcome": outcome,
         "status": answer.status,
@@ -82,7 +82,7 @@
 
 
 def find_code(body: bytes) -> str:
-    """Finds the code of a refusal; empty if there is none."""
+    """Returns the error code in a response body, or an empty string if there is none."""
     try:
         content = json.loads(body)
     except ValueError:
@@ -91,7 +91,7 @@
 
 
 async def main(arguments: Namespace) -> None:
-    """Runs the load program."""
+    """Sends the arrivals of a file and writes the results to another."""
     program = LoadProgram(arguments.urls.split(","), read_arrivals(arguments.arrivals))
     announce()
     await program.run()
--- a/tools/bench/report.py
+++ b/tools/bench/report.py
@@ -1,4 +1,4 @@
-"""Runs scenarios with several seeds and prints the spread: ``python -m tools.bench.report``."""
+"""Runs scenarios with several seeds and prints their spread: ``python -m tools.bench.report``."""
 
 import json
 from argparse import ArgumentParser
@@ -15,13 +15,13 @@
 
 
 def format_spread(values: Iterable[float]) -> str:
-    """Writes median, least and greatest."""
+    """Formats the median, minimum and maximum."""
     known = sorted(values)
     return f"{median(known):.3g} ({known[0]:.3g}-{known[-1]:.3g})"
 
 
 def print_spread(scenario: str, reports: list[dict]) -> None:
-    """Prints the rows of one scenario."""
+    """Prints the table rows of one scenario."""
     bound = [
         format_spread(report[field] for report in reports) for field in ("bound_p50", "bound_p99")
     ]
@@ -45,12 +45,12 @@
 
 
 def main() -> None:
-    """Parses the command line and runs everything, one process group after another."""
+    """Parses the command line and runs all scenarios and seeds, one after another."""
     parser = ArgumentParser(prog="python -m tools.bench.report", description=__doc__)
     parser.add_argument("--scenarios", default="steady-50,steady-70,steady-90")
     parser.add_argument("--seeds", default="1,2,3,4,5")
     parser.add_argument("--policies", default=",".join((PRODUCT, *BASELINES)))
-    parser.add_argument("--json", type=Path, help="file that gets one report a line")
+    parser.add_argument("--json", type=Path, help="file to which each report is appended as a line")
     arguments = parser.parse_args()
     print(ROW.format("scenario", "policy", "p50", "p99", "wasted", "idle", "failed", "not run"))
     print(ROW.format(*("---",) * 8), flush=True)
--- a/tools/bench/scenarios.py
+++ b/tools/bench/scenarios.py
@@ -1,4 +1,4 @@
-"""The situations that the bench brings about."""
+"""The scenarios of the benchmark."""
 
 from dataclasses import dataclass
 
@@ -7,10 +7,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """A switch of an endpoint stand-in, set during each policy's run and taken back after it.
+    """Switches of an endpoint stand-in, set during each policy's run and reset after it.
 
     :param endpoint: number of the endpoint.
-    :param switches: what is set, and what it is set back to.
+    :param switches: values set ``at_s`` seconds into the run.
+    :param undo: values set after the run.
     """
 
     at_s: float
@@ -19,22 +20,23 @@
     undo: dict[str, object]
 
 
-FASTEST = MIXED_SPEEDS.index(max(MIXED_SPEEDS))
+FASTEST_ENDPOINT = MIXED_SPEEDS.index(max(MIXED_SPEEDS))
 
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """A situation.
+    """A load on a set of daemons and endpoints.
 
-    :param load: share of the endpoints' capacity that the arrivals ask for.
+    :param load: requested work as a share of the endpoints' capacity.
     :param speeds: speeds of the endpoints in each failure domain.
-    :param daemon_domains: the failure domain of each daemon.
+    :param daemon_domains: failure domain of each daemon.
     :param daemon_weights: each daemon's share of the arrivals; empty for equal shares.
     :param slots: slots of each endpoint.
-    :param tasks_per_job: 1 for single requests.
+    :param tasks_per_job: 1 to send single requests instead of jobs.
     :param declared_run_time_s: run time in the service's record.
-    :param timeout_s: the same for the longest time of a request.
-    :param max_run_time_s: the same for the longest time of a task at an endpoint.
+    :param timeout_s: request timeout in the service's record.
+    :param max_run_time_s: time limit of a task at an endpoint in the service's record.
+    :param faults: faults that are injected during each policy's run.
     """
 
     name: str
@@ -52,20 +54,20 @@
 
     @property
     def domains(self) -> list[str]:
-        """The failure domains."""
+        """The distinct failure domains, sorted."""
         return sorted(set(self.daemon_domains))
 
     @property
     def slots_by_speed(self) -> dict[float, int]:
-        """How many slots there are of each speed, over all failure domains."""
+        """The number of slots of each speed in all failure domains."""
         counts: dict[float, int] = {}
         for speed in self.speeds:
             counts[speed] = counts.get(speed, 0) + self.slots * len(self.domains)
         return counts
 
     @property
-    def all_slots(self) -> int:
-        """How many slots there are."""
+    def total_slots(self) -> int:
+        """The number of slots of all endpoints."""
         return sum(self.slots_by_speed.values())
 
 
@@ -83,18 +85,24 @@
         Scenario(
             "straggler-50",
             load=0.5,
-            faults=(Fault(5.0, FASTEST, {"speed": 0.5}, {"speed": MIXED_SPEEDS[FASTEST]}),),
+            faults=(
+                Fault(
+                    5.0, FASTEST_ENDPOINT, {"speed": 0.5}, {"speed": MIXED_SPEEDS[FASTEST_ENDPOINT]}
+                ),
+            ),
         ),
         Scenario(
             "failing-endpoint-50",
             load=0.5,
-            faults=(Fault(5.0, FASTEST, {"fail_everything": True}, {"fail_everything": False}),),
+            faults=(
+                Fault(5.0, FASTEST_ENDPOINT, {"fail_everything": True}, {"fail_everything": False}),
+            ),
         ),
         Scenario(
             "silent-endpoint-50",
             load=0.5,
             max_run_time_s=5.0,
-            faults=(Fault(5.0, FASTEST, {"silent": True}, {}),),
+            faults=(Fault(5.0, FASTEST_ENDPOINT, {"silent": True}, {}),),
         ),
         Scenario("overload-150", load=1.5, timeout_s=2.0, max_run_time_s=2.0),
     )
--- a/tools/bench/summary.py
+++ b/tools/bench/summary.py
@@ -1,4 +1,4 @@
-"""Turns what a run left into the figures of the report."""
+"""Computes the figures of the report from the results of a run."""
 
 from dataclasses import dataclass
 from statistics import quantiles
@@ -18,8 +18,9 @@
 class PolicySummary:
     """The figures of one policy.
 
-    :param wasted_per_task: by kind, with ``total`` over all kinds but those of control traffic.
-    :param late_p99_s: how late the load program sent.
+    :param wasted_per_task: messages without useful work by kind; ``total`` excludes control
+        traffic.
+    :param late_p99_s: 99th percentile of the delay with which the load program sent arrivals.
     """
 
     slowdown_p50: float
@@ -33,14 +34,14 @@
 
 
 def find_percentile(values: list[float], percent: int) -> float:
-    """Finds a percentile; 0 if there are too few values."""
+    """Returns a percentile, or 0 if there are fewer than two values."""
     if len(values) < 2:
         return 0.0
     return quantiles(values, n=PERCENTILES, method="inclusive")[percent - 1]
 
 
 def summarize(scenario: Scenario, arrivals: list[Arrival], run: PolicyRun) -> PolicySummary:
-    """Works the figures out."""
+    """Computes the figures of one policy's run."""
     done = [row for row in run.rows if row["outcome"] == DONE]
     fastest_speed = max(scenario.speeds)
     slowdowns = [
@@ -59,7 +60,7 @@
         slowdown_p99=round(find_percentile(slowdowns, 99), 3),
         wasted_per_task={"total": round(total / tasks, 4), **wasted},
         idle_while_waiting=round(
-            compute_idle_while_waiting(intervals, scenario.all_slots, scenario.duration_s), 4
+            compute_idle_while_waiting(intervals, scenario.total_slots, scenario.duration_s), 4
         ),
         failed=len(run.rows) - len(done) - not_run,
         not_run=not_run,
@@ -71,14 +72,14 @@
 
 
 def match_intervals(run: PolicyRun, arrivals: list[Arrival]) -> list[Interval]:
-    """Joins what callers saw with what endpoints logged, by the task's name."""
+    """Joins the callers' send times with the endpoints' logged events by task identifier."""
     starts = {event["task_id"]: event for event in run.events if event["event"] == "start"}
     ends = {event["task_id"]: event for event in run.events if event["event"] == "end"}
-    began_s = min((row["due_s"] - arrivals[row["number"]].at_s for row in run.rows), default=0.0)
+    start_s = min((row["due_s"] - arrivals[row["number"]].at_s for row in run.rows), default=0.0)
     intervals = []
     for row in run.rows:
         for task_id in row.get("task_ids", []):
             if task_id in starts and task_id in ends:
                 times_s = (row["sent_s"], starts[task_id]["time_s"], ends[task_id]["time_s"])
-                intervals.append(Interval(*(time_s - began_s for time_s in times_s)))
+                intervals.append(Interval(*(time_s - start_s for time_s in times_s)))
     return intervals
--- a/tools/bench/system.py
+++ b/tools/bench/system.py
@@ -20,18 +20,20 @@
 PRODUCT = "berylproxy"
 BASELINES = ("random", "round_robin")
 ENDPOINT_CONNECTIONS = 64
-LOAD_TIMEOUT_S = 90.0
+LOAD_PROGRAM_TIMEOUT_S = 90.0
 CONTROL_PEERS = "control_peers"
 CONTROL_STORE = "control_store"
-SAMPLE = re.compile(r'^berylproxy_(\w+)_messages_total(?:\{\w+="(\w+)"\})? (\S+)$', re.MULTILINE)
+MESSAGE_COUNTER = re.compile(
+    r'^berylproxy_(\w+)_messages_total(?:\{\w+="(\w+)"\})? (\S+)$', re.MULTILINE
+)
 
 
 @dataclass(frozen=True, slots=True)
 class PolicyRun:
-    """What a run of one policy left.
+    """The results of one policy's run.
 
-    :param rows: one for each arrival, as the load program wrote them.
-    :param events: what the endpoints logged during the run.
+    :param rows: one result of the load program for each arrival.
+    :param events: events that the endpoints logged during the run.
     :param wasted: messages that carried no useful work, by kind.
     """
 
@@ -41,7 +43,7 @@
 
 
 class BenchSystem:
-    """The processes of one scenario: store, endpoints, product daemons, baselines in turn."""
+    """The processes of a scenario: store, endpoints, berylproxy daemons and, in turn, baselines."""
 
     def __init__(self, scenario: Scenario, arrivals: list[Arrival], folder: Path) -> None:
         self._scenario = scenario
@@ -65,7 +67,9 @@
     def __enter__(self) -> "BenchSystem":
         try:
             self.cluster.start()
-            self.cluster.wait_until(self._has_one_configuration, "one configuration everywhere")
+            self.cluster.wait_until(
+                self._has_one_configuration, "the same configuration revision on all daemons"
+            )
         except BaseException:
             self.stop()
             raise
@@ -85,7 +89,7 @@
         self.cluster.stop()
 
     def run_policy(self, policy: str) -> PolicyRun:
-        """Sends all arrivals through one policy."""
+        """Sends all arrivals through one policy's daemons and returns the results."""
         return self._run_product() if policy == PRODUCT else self._run_baseline(policy)
 
     def _run_product(self) -> PolicyRun:
@@ -95,7 +99,7 @@
         rows = self._run_load(PRODUCT, urls)
         messages = self._count_product_messages(urls)
         messages.subtract(before)
-        return PolicyRun(rows, self._take_events(), messages)
+        return PolicyRun(rows, self._read_new_events(), messages)
 
     def _run_baseline(self, policy: str) -> PolicyRun:
         with ExitStack() as stack:
@@ -108,7 +112,7 @@
             wasted: Counter[str] = Counter()
             for url in urls:
                 wasted.update(self._client.get(f"{url}/counts").json())
-        return PolicyRun(rows, self._take_events(), wasted)
+        return PolicyRun(rows, self._read_new_events(), wasted)
 
     def _make_baseline(self, policy: str, number: int) -> ManagedProcess:
         endpoints = ",".join(endpoint.url for endpoint in self.cluster.endpoints)
@@ -124,9 +128,9 @@
         with ManagedProcess(f"load-{policy}", arguments, self._folder) as load:
             try:
                 self._set_faults()
-                status = load.wait(LOAD_TIMEOUT_S)
+                status = load.wait(LOAD_PROGRAM_TIMEOUT_S)
             except TimeoutExpired as error:
-                raise RuntimeError(f"{policy}: the load program did not end") from error
+                raise RuntimeError(f"{policy}: the load program timed out") from error
             finally:
                 self._undo_faults()
         if status:
@@ -134,9 +138,9 @@
         return json.loads(results.read_text())
 
     def _set_faults(self) -> None:
-        began_s = monotonic() + START_DELAY_S
+        start_s = monotonic() + START_DELAY_S
         for fault in sorted(self._scenario.faults, key=lambda fault: fault.at_s):
-            sleep(max(0.0, began_s + fault.at_s - monotonic()))
+            sleep(max(0.0, start_s + fault.at_s - monotonic()))
             self.cluster.control(self.cluster.endpoints[fault.endpoint], **fault.switches)
 
     def _undo_faults(self) -> None:
@@ -144,10 +148,12 @@
             self.cluster.control(self.cluster.endpoints[fault.endpoint], **fault.undo)
 
     def _count_product_messages(self, urls: list[str]) -> Counter[str]:
-        """Counts wasted messages by kind, and the control traffic of daemons and store."""
+        """Returns the wasted messages by kind, the peer control messages and the store calls."""
         counts: Counter[str] = Counter()
         for url in urls:
-            for family, label, value in SAMPLE.findall(self._client.get(f"{url}/metrics").text):
+            for family, label, value in MESSAGE_COUNTER.findall(
+                self._client.get(f"{url}/metrics").text
+            ):
                 if family == "wasted":
                     counts[label] += int(float(value))
                 elif family == "peer":
@@ -158,7 +164,7 @@
         counts[CONTROL_STORE] = sum(calls.values())
         return counts
 
-    def _take_events(self) -> list[dict]:
+    def _read_new_events(self) -> list[dict]:
         events = sorted(self.cluster.read_events(), key=lambda event: event["time_s"])
         fresh = events[self._seen_events :]
         self._seen_events = len(events)
--- a/tools/bench/throughput.py
+++ b/tools/bench/throughput.py
@@ -1,7 +1,7 @@
-"""Task starts a processor second through a daemon, against direct calls in the same run.
+"""Measures task starts per processor second of a daemon and compares them with direct calls.
 
-``python -m tools.bench.throughput``: jobs of tasks without run time go in by one call each and out
-to stand-in endpoints. The daemon's processor time is read from the system.
+``python -m tools.bench.throughput`` submits jobs of tasks without run time, one call per job, which
+a daemon sends to stand-in endpoints. The daemon's processor time is read from ``/proc``.
 """
 
 import json
@@ -16,7 +16,7 @@
 from httpx import AsyncClient, Limits
 
 from standins.cluster import SERVICE, Cluster, EndpointPlan
-from tools.bench.caller import Caller
+from tools.bench.caller import HttpClient
 
 ENDPOINTS = 4
 SLOTS = 16
@@ -28,17 +28,17 @@
 TASKS_PATH = "/v1/tasks"
 JSON_HEADERS = {"Content-Type": "application/json"}
 CLOCK_TICKS_PER_S = sysconf("SC_CLK_TCK")
-TICK_FIELDS = slice(11, 13)  # of /proc/<pid>/stat after the name: user and system time
+TICK_FIELDS = slice(11, 13)  # user and system time in /proc/<pid>/stat, after the name
 
 
 def read_processor_s(pid: int) -> float:
-    """Reads how much processor time a process has used."""
+    """Returns the processor time that a process has used."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return sum(int(ticks) for ticks in fields[TICK_FIELDS]) / CLOCK_TICKS_PER_S
 
 
 async def call_many(call: Callable[[], Awaitable[None]]) -> float:
-    """Makes all calls, some at once, and returns how many a processor second this made."""
+    """Makes :data:`DIRECT_CALLS` concurrent calls and returns the calls per processor second."""
     remaining = DIRECT_CALLS
 
     async def work() -> None:
@@ -47,25 +47,25 @@
             remaining -= 1
             await call()
 
-    began_s = process_time()
+    start_s = process_time()
     async with anyio.create_task_group() as group:
         for _ in range(CALLS_AT_ONCE):
             group.start_soon(work)
-    return DIRECT_CALLS / (process_time() - began_s)
+    return DIRECT_CALLS / (process_time() - start_s)
 
 
 async def measure_httpcore(url: str) -> float:
-    """Calls an endpoint over single httpcore connections."""
-    caller = Caller(url)
+    """Returns the calls per processor second over plain httpcore connections."""
+    http_client = HttpClient(url)
 
     async def call() -> None:
-        await caller.send("POST", TASKS_PATH, BODY)
+        await http_client.send("POST", TASKS_PATH, BODY)
 
     return await call_many(call)
 
 
 async def measure_httpx(url: str) -> float:
-    """Calls an endpoint with httpx and its pool."""
+    """Returns the calls per processor second with httpx and its connection pool."""
     limits = Limits(max_connections=CALLS_AT_ONCE, max_keepalive_connections=CALLS_AT_ONCE)
     async with AsyncClient(trust_env=False, limits=limits) as client:
 
@@ -76,17 +76,17 @@
 
 
 async def run_jobs(url: str, tasks_per_job: int, jobs: int) -> None:
-    """Submits jobs without run time, some at once."""
+    """Submits jobs without run time, :data:`JOBS_AT_ONCE` concurrently."""
     tasks = [{"id": f"t{number}", "payload": {}} for number in range(tasks_per_job)]
     body = json.dumps({"service": SERVICE, "tasks": tasks}).encode()
-    caller = Caller(url)
+    http_client = HttpClient(url)
     remaining = jobs
 
     async def work() -> None:
         nonlocal remaining
         while remaining > 0:
             remaining -= 1
-            answer = await caller.send("POST", "/v1/jobs", body)
+            answer = await http_client.send("POST", "/v1/jobs", body)
             assert json.loads(answer.body)["outcome"] == "done", answer.body[:500]
 
     async with anyio.create_task_group() as group:
@@ -95,16 +95,16 @@
 
 
 def measure_daemon(cluster: Cluster, jobs: int) -> float:
-    """Runs jobs through the only daemon."""
+    """Returns the task starts per processor second of the only daemon, after a warm-up."""
     pid = cluster.daemons[0].pid
     anyio.run(run_jobs, cluster.url(0), TASKS_PER_JOB, JOBS_AT_ONCE)
-    began_s = read_processor_s(pid)
+    start_s = read_processor_s(pid)
     anyio.run(run_jobs, cluster.url(0), TASKS_PER_JOB, jobs)
-    return jobs * TASKS_PER_JOB / (read_processor_s(pid) - began_s)
+    return jobs * TASKS_PER_JOB / (read_processor_s(pid) - start_s)
 
 
 def measure(folder: Path, jobs: int) -> dict[str, float]:
-    """Measures all ways on one set of endpoints."""
+    """Measures the daemon and the direct calls on the same endpoints."""
     plans = [EndpointPlan("fd-a", slots=SLOTS) for _ in range(ENDPOINTS)]
     cluster = Cluster(folder, ["fd-a"], plans)
     try:
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -1,6 +1,7 @@
-"""Runs a job of 310 tasks through three daemons and eight endpoints, all of them own processes.
+"""Runs a job of 310 tasks through three daemons and eight endpoints, each in its own process.
 
-Everything listens on the loopback, on ports that the kernel picks, and is ended afterwards.
+All processes listen on the loopback interface, on ports chosen by the kernel, and are stopped at
+the end.
 """
 
 import json
@@ -30,14 +31,14 @@
 CONNECTIONS = 64
 POOL = "runners"
 SERVICE = "enquiry"
-SETTLE_TIMEOUT_S = 30.0
+CONVERGENCE_TIMEOUT_S = 30.0
 POLL_INTERVAL_S = 0.1
 COMMAND_TIMEOUT_S = 90.0
 JOB_TIMEOUT_S = 60.0
 
 
 class DemoError(Exception):
-    """A part of the demonstration did not do what it should."""
+    """A step of the demonstration failed."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,9 +51,10 @@
 
 
 class Demo:
-    """The processes of the demonstration.
+    """The demonstration: starts the processes, applies the records and submits a job.
 
-    :param start: starts ``python`` with arguments and variables and returns what it announces.
+    :param start: starts ``python`` under a name, with arguments and environment variables, and
+        returns the JSON object that it announces.
     """
 
     def __init__(self, start: Callable[[str, list[str], dict[str, str]], dict[str, Any]]) -> None:
@@ -60,7 +62,7 @@
         self.urls: list[str] = []
 
     def run(self, folder: Path) -> None:
-        """Starts everything, applies the records and submits the job.
+        """Starts all processes, applies the records and submits the job.
 
         :raises DemoError: if any step fails.
         """
@@ -72,20 +74,20 @@
         records = folder / "records.json"
         records.write_text(json.dumps(make_records(plans, ports), indent=2))
         self.call_berylctl("apply", str(records))
-        self._wait_until_settled(len(plans))
+        self._wait_until_converged(len(plans))
         self._submit()
 
     def call_berylctl(self, *arguments: str) -> str:
         """Runs berylctl and returns its output.
 
-        :raises DemoError: with its error line if it fails.
+        :raises DemoError: if it fails, with the last line of its error output.
         """
         command = [sys.executable, "-m", "berylproxy.cli", *arguments, "--output", "json"]
-        variables = {"BERYLPROXY_URL": ",".join(self.urls)}
+        environment = {"BERYLPROXY_URL": ",".join(self.urls)}
         done = subprocess.run(
             command,
             cwd=ROOT,
-            env=os.environ | variables,
+            env=os.environ | environment,
             stdin=subprocess.DEVNULL,
             capture_output=True,
             text=True,
@@ -106,7 +108,7 @@
     def _start_daemons(self, store_url: str) -> None:
         peers: list[str] = []
         for number, failure_domain in enumerate(DAEMON_DOMAINS):
-            variables = {
+            environment = {
                 "BERYLPROXY_DAEMON_ID": f"daemon-{number}",
                 "BERYLPROXY_FAILURE_DOMAIN": failure_domain,
                 "BERYLPROXY_HTTP_ADDRESS": "127.0.0.1:0",
@@ -114,24 +116,24 @@
                 "BERYLPROXY_PEERS": ",".join(peers),
                 "BERYLPROXY_STORE_URLS": store_url,
             }
-            announced = self._start(f"daemon-{number}", ["-m", "berylproxy.daemon"], variables)
+            announced = self._start(f"daemon-{number}", ["-m", "berylproxy.daemon"], environment)
             peers.append(announced["peer_address"])
             self.urls.append(f"http://{announced['http_address']}")
 
-    def _wait_until_settled(self, endpoint_count: int) -> None:
-        """Waits until every daemon sees the others and has the records in force."""
-        end_s = monotonic() + SETTLE_TIMEOUT_S
+    def _wait_until_converged(self, endpoint_count: int) -> None:
+        """Waits until every daemon sees all its peers and has applied the records."""
+        end_s = monotonic() + CONVERGENCE_TIMEOUT_S
         for url in self.urls:
-            while not self._is_settled(url, endpoint_count):
+            while not self._has_converged(url, endpoint_count):
                 if monotonic() >= end_s:
-                    raise DemoError(f"{url} has not settled within {SETTLE_TIMEOUT_S:g} s")
+                    raise DemoError(f"{url} has not converged within {CONVERGENCE_TIMEOUT_S:g} s")
                 sleep(POLL_INTERVAL_S)
 
-    def _is_settled(self, url: str, endpoint_count: int) -> bool:
+    def _has_converged(self, url: str, endpoint_count: int) -> bool:
         status = json.loads(self.call_berylctl("daemon", "status", "--url", url))
         alive = [peer for peer in status["peers"] if peer["status"] == "alive"]
-        complete = len(status["endpoints"]) == endpoint_count
-        return status["daemon"]["ready"] and complete and len(alive) == len(self.urls) - 1
+        has_endpoints = len(status["endpoints"]) == endpoint_count
+        return status["daemon"]["ready"] and has_endpoints and len(alive) == len(self.urls) - 1
 
     def _submit(self) -> None:
         started_s = monotonic()
@@ -149,7 +151,7 @@
 
 
 def plan_endpoints() -> list[EndpointPlan]:
-    """Lists the endpoints: each speed once in each failure domain."""
+    """Returns the endpoints to start: one of each speed in each failure domain."""
     return [
         EndpointPlan(f"{domain}-speed-{speed:g}", domain, speed)
         for domain in FAILURE_DOMAINS
@@ -158,7 +160,7 @@
 
 
 def make_records(plans: list[EndpointPlan], ports: list[int]) -> list[dict[str, Any]]:
-    """Makes the records in the order in which they refer to one another."""
+    """Builds the records, ordered so that each refers only to earlier ones."""
     service = {
         "schema_version": 1,
         "pools": [POOL],
@@ -175,7 +177,7 @@
 
 
 def make_endpoint_record(plan: EndpointPlan, port: int) -> dict[str, Any]:
-    """Makes the record of one endpoint."""
+    """Builds the record of one endpoint."""
     record = {
         "schema_version": 2,
         "pool": POOL,
@@ -198,8 +200,8 @@
     with TemporaryDirectory(prefix="berylproxy-demo-") as name, ExitStack() as stack:
         folder = Path(name)
 
-        def start(name: str, arguments: list[str], variables: dict[str, str]) -> dict[str, Any]:
-            process = ManagedProcess(name, arguments, folder, environment=variables)
+        def start(name: str, arguments: list[str], environment: dict[str, str]) -> dict[str, Any]:
+            process = ManagedProcess(name, arguments, folder, environment=environment)
             return stack.enter_context(process).announced
 
         try:
--- a/tools/prove.py
+++ b/tools/prove.py
@@ -1,4 +1,4 @@
-"""Runs a random schedule of faults against real processes and judges the history of the run."""
+"""Runs a random schedule of faults against real processes and checks the recorded history."""
 
 import sys
 from argparse import ArgumentParser
@@ -16,23 +16,23 @@
 DOMAINS = ["a", "b", "c"]
 SLOTS = 4
 LENGTH_S = 45.0
-FAULTS = 14
-CALLERS = 8
+FAULT_COUNT = 14
+CALLER_COUNT = 8
 CALL_TIMEOUT_S = 12.0
 FINAL_TASKS = 12
-HEALED_CONDITION = "after the faults every daemon serves and every slot is free again"
+RECOVERY_CONDITION = "after the faults every daemon serves and every slot is free again"
 CONFIGURATION_CONDITION = "an accepted configuration is in force everywhere and never reverts"
-SHOWN_VIOLATIONS = 5
+MAX_SHOWN_VIOLATIONS = 5
 
 
 def make_cluster(folder: Path) -> ProvingCluster:
-    """Makes the cluster under test."""
+    """Creates the cluster under test."""
     plans = [EndpointPlan(domain, slots=SLOTS) for domain in DOMAINS]
     return ProvingCluster(folder, DOMAINS, plans, service={"max_run_time_s": 4.0})
 
 
-def check_healed(cluster: ProvingCluster, caller: RecordingCaller) -> list[str]:
-    """Submits a job to each daemon after the faults, then looks for slots that stay in use."""
+def check_recovery(cluster: ProvingCluster, caller: RecordingCaller) -> list[str]:
+    """Submits a job to each daemon after the faults and checks that all slots become free."""
     violations = []
     for number in range(len(cluster.daemons)):
         payloads = {f"t{task}": {"run_time_s": 0.1} for task in range(FINAL_TASKS)}
@@ -48,7 +48,7 @@
 
 
 def count_used_slots(cluster: ProvingCluster) -> int:
-    """Counts the slots that the holders take for in use."""
+    """Counts the slots that the holders report as in use."""
     return sum(
         endpoint["in_use"] or 0
         for number in range(len(cluster.daemons))
@@ -57,7 +57,7 @@
 
 
 class ConfigurationRace:
-    """Two operators at two daemons who change the same record at the same revision."""
+    """Operators at all daemons that concurrently change one record at the same revision."""
 
     def __init__(self, cluster: ProvingCluster, caller: RecordingCaller) -> None:
         self._cluster = cluster
@@ -66,7 +66,7 @@
         self._violations: list[str] = []
 
     def run(self, rounds: int) -> None:
-        """Races before, and after the faults."""
+        """Runs rounds in which one operator per daemon tries to change the record."""
         for number in range(rounds):
             self._race(number)
 
@@ -79,7 +79,7 @@
         ]
         accepted = [result for result in (writer.result() for writer in writers) if result]
         if len(accepted) > 1:
-            self._violations.append(f"{len(accepted)} operators won: {accepted}")
+            self._violations.append(f"{len(accepted)} concurrent changes were accepted: {accepted}")
         self._accepted += accepted
 
     def _write(self, daemon: int, read, run_time_s: float) -> tuple[int, float] | None:
@@ -90,7 +90,7 @@
         return (response.json()["revision"], run_time_s) if response.status_code == 200 else None
 
     def check(self) -> list[str]:
-        """Waits until all daemons have the last accepted record."""
+        """Waits until all daemons have the last accepted record and returns all violations."""
         revision, run_time_s = max(self._accepted)
         for number in range(len(self._cluster.daemons)):
             try:
@@ -112,10 +112,10 @@
 
 
 def run_seed(seed: int, folder: Path) -> dict[str, list[str]]:
-    """Runs one schedule; returns the violations by condition."""
+    """Runs the schedule of a seed and returns the violations by condition."""
     cluster = make_cluster(folder)
     history = History()
-    schedule = make_schedule(seed, LENGTH_S, FAULTS, len(DOMAINS))
+    schedule = make_schedule(seed, LENGTH_S, FAULT_COUNT, len(DOMAINS))
     for fault in schedule:
         print(fault)
     try:
@@ -123,13 +123,13 @@
         caller = RecordingCaller(cluster, history, CALL_TIMEOUT_S)
         race = ConfigurationRace(cluster, caller)
         race.run(rounds=3)
-        load = RandomLoad(caller, CALLERS, seed)
+        load = RandomLoad(caller, CALLER_COUNT, seed)
         load.start()
         run_schedule(cluster, schedule, LENGTH_S)
         load.stop()
         cluster.mend()
         race.run(rounds=1)
-        violations = {HEALED_CONDITION: check_healed(cluster, caller)}
+        violations = {RECOVERY_CONDITION: check_recovery(cluster, caller)}
         violations[CONFIGURATION_CONDITION] = race.check()
         cluster.collect_events(history)
         caller.close()
@@ -151,7 +151,7 @@
     broken = {condition: lines for condition, lines in violations.items() if lines}
     for condition, lines in broken.items():
         print(f"broken: {condition} ({len(lines)})")
-        for line in lines[:SHOWN_VIOLATIONS]:
+        for line in lines[:MAX_SHOWN_VIOLATIONS]:
             print(f"  {line}")
     print(
         f"prove: seed {seed}: {len(violations) - len(broken)} conditions held, {len(broken)} broken"
--- a/tools/run_tests.py
+++ b/tools/run_tests.py
@@ -1,7 +1,7 @@
-"""Runs formatter check, linter and behave, and prints the count of scenarios last.
+"""Runs the formatter check, the linter and behave, and finally prints the scenario counts.
 
-The verdict is read from behave's own JSON result file. A failing scenario makes the run fail
-unless ``KNOWN-RED.txt`` names it; the listed ones are printed.
+The results are read from behave's JSON files. A failing scenario makes the run fail unless
+``KNOWN-RED.txt`` lists it; listed failures are printed.
 """
 
 import json
@@ -21,13 +21,13 @@
 
 
 def run_tool(module: str, *arguments: str) -> bool:
-    """Runs ``python -m module`` in the project's root and tells whether it succeeded."""
+    """Runs ``python -m module`` in the project's root and returns whether it succeeded."""
     command = [sys.executable, "-m", module, *arguments]
     return subprocess.run(command, cwd=ROOT, check=False).returncode == 0
 
 
 def list_shards(paths: list[str]) -> list[list[str]]:
-    """Divides the features: clusters of daemons, the platform and all others run side by side."""
+    """Divides the features into shards to run in parallel: clusters, platform and the rest."""
     if paths:
         return [paths]
     folders = sorted(path.parent for path in (ROOT / "tests").glob("*/*.feature"))
@@ -42,9 +42,9 @@
 
 
 def run_features(shards: list[list[str]]) -> list[bool]:
-    """Runs behave on all shards at once; tells of each whether it succeeded.
+    """Runs behave on all shards in parallel and returns for each whether it succeeded.
 
-    Each shard writes its results and its output to files of its own in :data:`RESULT_FOLDER`.
+    Each shard writes its results and its output to separate files in :data:`RESULT_FOLDER`.
     """
     RESULT_FOLDER.mkdir(exist_ok=True)
     for old_file in RESULT_FOLDER.glob("behave-*"):
@@ -57,7 +57,7 @@
 
 
 def start_shard(number: int, paths: list[str]) -> subprocess.Popen:
-    """Starts behave on some folders of features."""
+    """Starts behave on the given paths."""
     result_file = RESULT_FOLDER / f"behave-{number}.json"
     formats = ["--format", "json", "--outfile", str(result_file), "--format", "progress"]
     command = [sys.executable, "-m", "behave", "--no-color", *formats, *paths]
@@ -86,7 +86,7 @@
 
 
 def is_known_red(scenario: str, known_red: str) -> bool:
-    """Tells whether the scenario's name stands in ``KNOWN-RED.txt`` as a whole line."""
+    """Returns whether ``KNOWN-RED.txt`` lists the scenario in a ``test:`` line."""
     name = scenario.split(": ", 1)[1]
     return any(line.strip() == f"test: {name}" for line in known_red.splitlines())
 
@@ -107,7 +107,7 @@
     print(f"black: {'clean' if formatted else 'would reformat'}")
     print(f"ruff: {'clean' if linted else 'has findings'}")
     print(f"{counts[PASSED]} passed, {counts['failed']} failed, {counts['skipped']} skipped")
-    # behave also fails on errors outside scenarios (hooks, unreadable features).
+    # behave also fails on errors outside of scenarios, such as in hooks or unreadable features.
     explained = all(
         passed or any(classify(status) == "failed" for status in shard.values())
         for passed, shard in zip(succeeded, statuses_by_shard, strict=True)
--- a/tools/slopes.py
+++ b/tools/slopes.py
@@ -1,9 +1,9 @@
-"""Measures how the costs of a daemon's roles grow with size, for docs/CAPACITY.md.
+"""Measures how the costs of a daemon's roles scale with size, for docs/CAPACITY.md.
 
 Usage: python -m tools.slopes [--only NAME]
 
 Each cost is measured at three or more sizes on this machine and fitted with a line by least
-squares. The last line of the output is one JSON object.
+squares. The last line of the output is a JSON object.
 """
 
 import gc
@@ -84,9 +84,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Slope:
-    """A line through the costs at several sizes.
+    """A line fitted to the costs at several sizes.
 
-    :param largest_residual: the largest distance of a cost from the line.
+    :param quantity: name of the cost.
+    :param per: unit of the sizes.
+    :param largest_residual: largest distance of a cost from the line.
     """
 
     quantity: str
@@ -99,7 +101,7 @@
 
 
 def fit_slope(quantity: str, per: str, sizes: list[float], costs: list[float]) -> Slope:
-    """Fits a line and finds how far the costs are from it."""
+    """Fits a line to the costs and determines the largest residual."""
     slope, intercept = fit_line(sizes, costs)
     residuals = [
         abs(cost - intercept - slope * size) for size, cost in zip(sizes, costs, strict=True)
@@ -108,47 +110,50 @@
 
 
 def fit_points(per: str, sizes: tuple[int, ...], points: Points) -> list[Slope]:
-    """Fits a line for each quantity."""
+    """Fits a line to the costs of each quantity."""
     return [fit_slope(quantity, per, list(sizes), costs) for quantity, costs in points.items()]
 
 
 def add_point(points: Points, **costs: float) -> None:
-    """Adds one size's costs."""
+    """Appends the costs of the next size."""
     for quantity, cost in costs.items():
         points.setdefault(quantity, []).append(cost)
 
 
-def spend_us(action: Callable[[], object]) -> float:
-    """Runs an action some times and returns the median of its processor time."""
+def measure_cpu_us(action: Callable[[], object]) -> float:
+    """Runs an action :data:`REPEATS` times and returns the median of its processor times."""
     times_s = []
     for _ in range(REPEATS):
         gc.collect()
-        began_s = time.process_time()
+        start_s = time.process_time()
         action()
-        times_s.append(time.process_time() - began_s)
+        times_s.append(time.process_time() - start_s)
     return median(times_s) * US_PER_S
 
 
-def hold_bytes(make: Callable[[], object]) -> int:
-    """Makes an object and returns how much memory it holds."""
+def measure_memory_bytes(make: Callable[[], object]) -> int:
+    """Creates an object and returns the memory that it retains."""
     gc.collect()
     tracemalloc.start()
     held = make()
     gc.collect()
-    held_bytes, _ = tracemalloc.get_traced_memory()
+    memory_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     del held
-    return held_bytes
+    return memory_bytes
 
 
 def read_resident_mb(pid: int) -> float:
-    """Reads how much memory a process holds now; the kernel's maximum starts at its parent's."""
+    """Returns the current resident memory of a process.
+
+    The kernel's maximum isn't used, as it starts at the value of the parent process.
+    """
     pages = int(Path(f"/proc/{pid}/statm").read_text().split()[1])
     return pages * PAGESIZE / BYTES_PER_MB
 
 
 def measure_daemons() -> list[Slope]:
-    """Control traffic and processor time of idle members, one process each."""
+    """Measures control traffic, processor time and memory of idle members, one process each."""
     points: Points = {}
     for daemons in DAEMON_COUNTS:
         with Fleet(daemons) as fleet:
@@ -169,7 +174,7 @@
 
 
 def make_record(number: int, revision: int) -> Entry:
-    """Makes an endpoint's record, or a team's after every few endpoints."""
+    """Builds the record of an endpoint or, for every :data:`RECORDS_PER_TEAM`-th number, a team."""
     if number % RECORDS_PER_TEAM == 0:
         kind, name, record = "teams", f"team-{number}", TEAM
     else:
@@ -181,7 +186,7 @@
 
 
 def make_listing(records: int) -> Listing:
-    """Makes what a list of the store returns."""
+    """Builds a listing of the store with the given number of records."""
     pool = encode_envelope(Envelope("0123456789abcdef", 0, POOL))
     entries = [Entry(make_key("pools", "oak"), pool, 1)]
     entries += [make_record(number, number + 1) for number in range(1, records)]
@@ -189,14 +194,14 @@
 
 
 def load_view(listing: Listing) -> RecordView:
-    """Loads a view in full."""
+    """Creates a view and applies a full listing to it."""
     view = RecordView()
     view.apply_listing(listing)
     return view
 
 
-def fetch_all(view: RecordView) -> int:
-    """Counts the bytes of a full fetch between daemons."""
+def count_full_fetch_bytes(view: RecordView) -> int:
+    """Returns the payload bytes of a full fetch of all records by another daemon."""
     codec = MessageCodec((FetchRecords, Records))
     spreader = RecordSpreader(view, None, Random(1))
     fetched_bytes = 0
@@ -209,26 +214,26 @@
             return fetched_bytes
 
 
-def change_one(view: RecordView, revisions: Iterator[int]) -> float:
-    """Applies single changes; returns the processor time of one."""
+def measure_change_us(view: RecordView, revisions: Iterator[int]) -> float:
+    """Applies single changes and returns the processor time of one."""
 
     def apply_changes() -> None:
         for _ in range(CHANGE_ROUNDS):
             view.apply([make_record(1, next(revisions))], [])
 
-    return spend_us(apply_changes) / CHANGE_ROUNDS
+    return measure_cpu_us(apply_changes) / CHANGE_ROUNDS
 
 
 def measure_records() -> list[Slope]:
-    """A view's full load, one change, memory and a full fetch."""
+    """Measures a view's full load, a single change, its memory and a full fetch."""
     points: Points = {}
     for records in RECORD_COUNTS:
         listing = make_listing(records)
-        load_us = spend_us(lambda listing=listing: load_view(listing))
-        memory_bytes = hold_bytes(lambda listing=listing: load_view(listing))
+        load_us = measure_cpu_us(lambda listing=listing: load_view(listing))
+        memory_bytes = measure_memory_bytes(lambda listing=listing: load_view(listing))
         view = load_view(listing)
         revisions = count(records + 1)
-        change_us = change_one(view, revisions)
+        change_us = measure_change_us(view, revisions)
         identity = DaemonIdentity("d", "0123456789ab", "domain-0", "")
         holder = Holder(identity, MonotonicClock(), lambda *_: None)
         view.subscribe(holder.configure)
@@ -236,18 +241,18 @@
             points,
             full_load_us=load_us,
             one_change_us=change_us,
-            one_change_us_with_all_groups_held=change_one(view, revisions),
+            one_change_us_with_all_groups_held=measure_change_us(view, revisions),
             view_memory_bytes_beside_values=memory_bytes,
             stored_bytes=sum(len(entry.key) + len(entry.value) for entry in listing.entries),
-            full_fetch_bytes=fetch_all(view),
+            full_fetch_bytes=count_full_fetch_bytes(view),
         )
     return fit_points("record", RECORD_COUNTS, points)
 
 
 class LoadedLedger:
-    """A ledger at a steady load, driven by hand.
+    """A slot ledger under a constant load, on a simulated clock.
 
-    :param batch: tasks that end, and that are asked for, between two decisions.
+    :param batch: number of tasks that end, and of tasks requested, between two decisions.
     """
 
     def __init__(self, endpoints: int, batch: int) -> None:
@@ -262,24 +267,24 @@
             {},
             {},
         )
-        self._busy = int(endpoints * SLOTS * LEDGER_LOAD)
-        self.batch = min(batch, self._busy)
+        self._busy_slots = int(endpoints * SLOTS * LEDGER_LOAD)
+        self.batch = min(batch, self._busy_slots)
         self._running: deque[SlotGrant] = deque()
         self._last_grant = 0
         self._now_s = 100.0
-        while len(self._running) < self._busy:
-            self._ask(self._busy - len(self._running))
+        while len(self._running) < self._busy_slots:
+            self._update_demand(self._busy_slots - len(self._running))
 
     def step(self) -> None:
-        """Ends some tasks, asks for as many more and decides, as a holder does."""
-        self._now_s += self.batch * RUN_TIME_S / self._busy
+        """Releases a batch of slots, requests as many and grants slots, as a holder does."""
+        self._now_s += self.batch * RUN_TIME_S / self._busy_slots
         for _ in range(min(self.batch, len(self._running))):
             grant = self._running.popleft()
             release = SlotRelease("f" * 12, grant.sequence, grant.endpoint, "s", "done", RUN_TIME_S)
             self._ledger.release(release, self._now_s)
-        self._ask(self._busy - len(self._running))
+        self._update_demand(self._busy_slots - len(self._running))
 
-    def _ask(self, tasks: int) -> None:
+    def _update_demand(self, tasks: int) -> None:
         demand = [DemandEntry("s", "t", (), tasks, 0.0)]
         self._ledger.update_demand("home", demand, self._last_grant, self._now_s)
         grants = [addressed.grant for addressed in self._ledger.grant_slots(self._now_s)]
@@ -290,7 +295,10 @@
 
 
 def measure_ledger() -> list[Slope]:
-    """Processor time of a placement decision, with its update, release and summary; memory."""
+    """Measures the memory of a ledger and the processor time of a placement decision.
+
+    The time includes the update of the demand, the release and the summary.
+    """
     points: Points = {}
     for endpoints in ENDPOINT_COUNTS:
         for batch in LEDGER_BATCHES:
@@ -301,15 +309,15 @@
                 for _ in range(steps):
                     ledger.step()
 
-            decision_us = spend_us(run_steps) / (steps * ledger.batch)
+            decision_us = measure_cpu_us(run_steps) / (steps * ledger.batch)
             add_point(points, **{f"decision_us_in_batches_of_{batch}": decision_us})
-        memory_bytes = hold_bytes(lambda endpoints=endpoints: LoadedLedger(endpoints, 1))
+        memory_bytes = measure_memory_bytes(lambda endpoints=endpoints: LoadedLedger(endpoints, 1))
         add_point(points, ledger_memory_bytes=memory_bytes)
     return fit_points("endpoint", ENDPOINT_COUNTS, points)
 
 
 def measure_messages() -> list[Slope]:
-    """Payload bytes of the messages about slots."""
+    """Measures the payload bytes of the messages about slots."""
     codec = MessageCodec(PLACE_MESSAGES)
     issuer = "f" * 12
     summary = HolderSummary("pool", "domain-1", 9, 0, 192, 640.5, (0.3123,) * 8)
@@ -334,13 +342,13 @@
     """Returns a daemon's processor time for one job."""
     pid = cluster.daemons[0].pid
     jobs = TASK_STARTS // tasks_per_job
-    began_s = read_processor_s(pid)
+    start_s = read_processor_s(pid)
     anyio.run(run_jobs, cluster.url(0), tasks_per_job, jobs)
-    return (read_processor_s(pid) - began_s) * US_PER_S / jobs
+    return (read_processor_s(pid) - start_s) * US_PER_S / jobs
 
 
-def make_answered_jobs(tasks_per_job: int) -> list[Job]:
-    """Makes finished jobs as their home keeps them."""
+def make_finished_jobs(tasks_per_job: int) -> list[Job]:
+    """Creates finished jobs as their home retains them."""
     jobs = []
     for number in range(ANSWER_JOBS):
         tasks = tuple(Task(f"t{task}", b"", "", {}) for task in range(tasks_per_job))
@@ -355,7 +363,7 @@
 
 
 def measure_tasks() -> list[Slope]:
-    """Processor time of a job by its number of tasks, and memory of its kept answer."""
+    """Measures a job's processor time and the memory of its retained answer by task count."""
     points: Points = {}
     plans = [EndpointPlan("fd-a", slots=TASK_SLOTS) for _ in range(TASK_ENDPOINTS)]
     with TemporaryDirectory() as folder:
@@ -370,40 +378,40 @@
         finally:
             cluster.stop()
     for tasks_per_job in TASKS_PER_JOB:
-        kept_bytes = hold_bytes(lambda tasks=tasks_per_job: make_answered_jobs(tasks))
-        add_point(points, kept_answer_bytes=kept_bytes / ANSWER_JOBS)
+        retained_bytes = measure_memory_bytes(lambda tasks=tasks_per_job: make_finished_jobs(tasks))
+        add_point(points, kept_answer_bytes=retained_bytes / ANSWER_JOBS)
     return fit_points("task", TASKS_PER_JOB, points)
 
 
 class MeteredStore(MemoryStore):
-    """A store in memory that counts the bytes written."""
+    """An in-memory store that counts the written bytes."""
 
     def __init__(self) -> None:
         super().__init__()
         self.written_bytes = 0
 
     def write(self, key: str, value: bytes, expected_revision: int) -> int:
-        """Writes at once."""
+        """Counts the bytes and writes the value."""
         self.written_bytes += len(value)
         return super().write(key, value, expected_revision)
 
 
-async def claim_steadily(store: MeteredStore, rate_per_s: int) -> None:
-    """Claims keys at a rate for the window."""
-    book = ClaimRegistry(store, MonotonicClock())
+async def claim_at_rate(store: MeteredStore, rate_per_s: int) -> None:
+    """Claims keys at a constant rate for :data:`CLAIM_WINDOW_S`."""
+    registry = ClaimRegistry(store, MonotonicClock())
     async with anyio.create_task_group() as group:
         for number in range(int(rate_per_s * CLAIM_WINDOW_S)):
             key_hash = hash_key("team", str(number))
-            group.start_soon(book.claim, key_hash, f"0123456789ab-{number}-0123456789abcdef")
+            group.start_soon(registry.claim, key_hash, f"0123456789ab-{number}-0123456789abcdef")
             await anyio.sleep(1 / rate_per_s)
 
 
 async def measure_claim_rate(rate_per_s: int) -> dict[str, float]:
-    """Returns the store's load by claims at a rate."""
+    """Returns the load that claims at a rate put on the store."""
     store = MeteredStore()
-    began_s, began_cpu_s = time.monotonic(), time.process_time()
-    await claim_steadily(store, rate_per_s)
-    elapsed_s, cpu_s = time.monotonic() - began_s, time.process_time() - began_cpu_s
+    start_s, start_cpu_s = time.monotonic(), time.process_time()
+    await claim_at_rate(store, rate_per_s)
+    elapsed_s, cpu_s = time.monotonic() - start_s, time.process_time() - start_cpu_s
     listing = await store.list_prefix(KEY_PREFIX)
     claims = rate_per_s * CLAIM_WINDOW_S
     return {
@@ -417,7 +425,7 @@
 
 
 def measure_claims() -> list[Slope]:
-    """Store writes and bytes by the rate of keyed jobs, from empty buckets on."""
+    """Measures the store's load by the rate of keyed jobs, starting with empty buckets."""
     points: Points = {}
     for rate_per_s in CLAIM_RATES_PER_S:
         add_point(points, **anyio.run(measure_claim_rate, rate_per_s))
@@ -435,7 +443,7 @@
 
 
 def print_slopes(name: str, slopes: list[Slope]) -> None:
-    """Prints one measurement's table."""
+    """Prints the fitted costs of one measurement."""
     print(f"{name}, at {', '.join(f'{size:g}' for size in slopes[0].sizes)}:", flush=True)
     for slope in slopes:
         costs = ", ".join(f"{cost:,.4g}" if cost < 1e4 else f"{cost:,.0f}" for cost in slope.costs)
@@ -447,7 +455,7 @@
 
 
 def main() -> None:
-    """Parses the command line, measures and prints."""
+    """Parses the command line, runs the measurements and prints their results."""
     parser = ArgumentParser(prog="python -m tools.slopes", description=__doc__)
     parser.add_argument("--only", choices=MEASUREMENTS)
     arguments = parser.parse_args()
--- a/tools/soak/__init__.py
+++ b/tools/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Runs the platform's daemons as processes under random faults and judges what was seen."""
+"""Runs the platform's daemons as processes under random faults and checks their guarantees."""
--- a/tools/soak/__main__.py
+++ b/tools/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Runs ``python -m tools.soak --seed N``."""
+"""Runs the soak test: ``python -m tools.soak --seed N``."""
 
 import os
 import signal
@@ -15,67 +15,76 @@
 from tests.support.faults import Fault
 from tests.support.platform_cluster import PREFIX, make_configuration
 from tools.soak.callers import SoakCallers, SoakJob
-from tools.soak.judge import count_answers, judge
+from tools.soak.judge import count_answers, find_violations
 from tools.soak.regressions import FAILED_SEEDS
 from tools.soak.schedule import make_schedule
-from tools.soak.world import SoakWorld
+from tools.soak.world import SoakCluster
 
 DAEMONS = 4
 RUNNERS = 5
 CALLERS = 10
 RUN_TIME_S = 0.3
 DEFAULT_LENGTH_S = 20.0
-HEALED_WITHIN_S = 15.0  # all daemons serve, and each accepted kept job has ended everywhere
-SHOWN_PROBLEMS = 8
-FIRST_SUBNET, SUBNETS = 2, 250  # of 127.0.x.0, so that soaks can run side by side
-LAST_VERSION = 99  # of the configuration, above that of the start
-FINAL_IDS = count(1)
+# Until all daemons serve, and all report each accepted durable job as completed.
+RECOVERY_TIMEOUT_S = 15.0
+MAX_SHOWN_PROBLEMS = 8
+FIRST_SUBNET, SUBNETS = 2, 250  # of 127.0.x.0, so that soaks can run in parallel
+FINAL_CONFIGURATION_VERSION = 99  # above the version at the start
+FINAL_JOB_IDS = count(1)
 
 
-def play(seed: int, length_s: float, folder: Path) -> list[str]:
-    """Plays one seed and returns what was not kept."""
+def run_seed(seed: int, length_s: float, folder: Path) -> list[str]:
+    """Runs the schedule of one seed and returns the violated guarantees."""
     subnet = FIRST_SUBNET + os.getpid() % SUBNETS
-    world = SoakWorld(folder, DAEMONS, RUNNERS, RUN_TIME_S, subnet=subnet)
+    cluster = SoakCluster(folder, DAEMONS, RUNNERS, RUN_TIME_S, subnet=subnet)
     try:
-        world.start()
-        callers = SoakCallers(seed, CALLERS, DAEMONS, world.url_of)
+        cluster.start()
+        callers = SoakCallers(seed, CALLERS, DAEMONS, cluster.url_of)
         callers.start()
         schedule = make_schedule(seed, length_s, DAEMONS, RUNNERS)
         try:
-            problems = bring_about(world, schedule)
-            world.heal()
+            problems = inject_faults(cluster, schedule)
+            cluster.undo_all_faults()
         finally:
             callers.stop()
-        problems += check_healed(world)
-        kept = [job for job in callers.jobs if job.is_kept and job.is_accepted]
-        states = read_final_states(world, kept)
-        problems += judge(callers.jobs, world.read_history(), world.down, world.stopped, states)
-        problems += [f"d{who} ended with status {s}" for who, s in world.statuses if s]
-        problems += find_crashes(world)
+        problems += check_recovery(cluster)
+        durable_jobs = [job for job in callers.jobs if job.is_durable and job.is_accepted]
+        states = read_final_states(cluster, durable_jobs)
+        problems += find_violations(
+            callers.jobs, cluster.read_history(), cluster.down_spans, cluster.stop_spans, states
+        )
+        problems += [f"d{daemon} ended with status {s}" for daemon, s in cluster.exit_statuses if s]
+        problems += find_logged_errors(cluster)
         print(f"seed {seed}: {len(schedule)} faults, {len(callers.jobs)} jobs, ", end="")
-        print(f"{len(kept)} kept; {count_answers(callers.jobs)}; {len(problems)} problems")
+        print(
+            f"{len(durable_jobs)} durable; {count_answers(callers.jobs)}; "
+            f"{len(problems)} problems"
+        )
         if problems:
             print("\n".join(map(str, schedule)))
         return problems
     finally:
-        world.close()
+        cluster.close()
 
 
-def bring_about(world: SoakWorld, schedule: list[Fault]) -> list[str]:
-    """Plays the faults, each in a thread of its own as some take their time."""
+def inject_faults(cluster: SoakCluster, schedule: list[Fault]) -> list[str]:
+    """Injects the faults, each in its own thread because some take long to begin or end.
+
+    :return: the faults that could not be injected, with the errors.
+    """
     problems: list[str] = []
     started_s = monotonic()
 
-    def play_one(fault: Fault) -> None:
+    def inject_fault(fault: Fault) -> None:
         try:
             sleep(max(started_s + fault.begin_s - monotonic(), 0))
-            world.begin(fault)
+            cluster.begin_fault(fault)
             sleep(max(started_s + fault.end_s - monotonic(), 0))
-            world.end(fault)
-        except Exception as error:  # a fault that can't be played is a finding of its own
+            cluster.end_fault(fault)
+        except Exception as error:  # a fault that can't be injected is reported as a problem
             problems.append(f"{fault}: {error!r}")
 
-    threads = [Thread(target=play_one, args=(fault,)) for fault in schedule]
+    threads = [Thread(target=inject_fault, args=(fault,)) for fault in schedule]
     for thread in threads:
         thread.start()
     for thread in threads:
@@ -83,16 +92,18 @@
     return problems
 
 
-def check_healed(world: SoakWorld) -> list[str]:
-    """Every daemon serves again."""
+def check_recovery(cluster: SoakCluster) -> list[str]:
+    """Returns the daemons that do not serve again within the recovery timeout."""
     problems = []
-    world.configure(make_configuration(LAST_VERSION, [PREFIX]))
-    until_s = monotonic() + HEALED_WITHIN_S
+    cluster.configure(make_configuration(FINAL_CONFIGURATION_VERSION, [PREFIX]))
+    until_s = monotonic() + RECOVERY_TIMEOUT_S
     for number in range(DAEMONS):
         answer = None
         while answer is None or (answer.status_code != 200 and monotonic() < until_s):
             try:
-                answer = world.submit(number, f"{next(FINAL_IDS):016x}", 2, **{"best-effort": True})
+                answer = cluster.submit(
+                    number, f"{next(FINAL_JOB_IDS):016x}", 2, **{"best-effort": True}
+                )
             except HTTPError as error:
                 if monotonic() > until_s:
                     problems.append(f"d{number} does not serve after the faults: {error!r}")
@@ -102,14 +113,17 @@
     return problems
 
 
-def read_final_states(world: SoakWorld, kept: list[SoakJob]) -> dict[str, set[str]]:
-    """Asks every daemon for each kept job until it has ended."""
-    until_s = monotonic() + HEALED_WITHIN_S
+def read_final_states(cluster: SoakCluster, durable_jobs: list[SoakJob]) -> dict[str, set[str]]:
+    """Queries all daemons for each durable job until all report it as completed.
+
+    :return: the last states reported for each job, by its identifier.
+    """
+    until_s = monotonic() + RECOVERY_TIMEOUT_S
     states: dict[str, set[str]] = {}
-    for job in kept:
+    for job in durable_jobs:
         while states.get(job.job_id) != {"completed"}:
             states[job.job_id] = {
-                read_state(world, number, job.job_id) for number in range(DAEMONS)
+                read_state(cluster, number, job.job_id) for number in range(DAEMONS)
             }
             if monotonic() > until_s:
                 break
@@ -117,46 +131,46 @@
     return states
 
 
-def read_state(world: SoakWorld, number: int, job_id: str) -> str:
-    """Asks a daemon for a job."""
+def read_state(cluster: SoakCluster, number: int, job_id: str) -> str:
+    """Returns the state of a job at a daemon, or the status or error that the daemon answers."""
     try:
-        answer = world.request(number, "GET", PREFIX + job_id)
+        answer = cluster.request(number, "GET", PREFIX + job_id)
     except HTTPError as error:
         return repr(error)
     return answer.json()["state"] if answer.status_code == 200 else str(answer.status_code)
 
 
-def find_crashes(world: SoakWorld) -> list[str]:
-    """Finds daemons that ended by a fault of their own."""
+def find_logged_errors(cluster: SoakCluster) -> list[str]:
+    """Returns the errors that the daemons logged."""
     return [
         f"{daemon.name} logged {line['level']}: {line['message']}"
-        for daemon in world.daemons
-        for line in world.read_log(daemon)
+        for daemon in cluster.daemons
+        for line in cluster.read_log(daemon)
         if line.get("level") in ("error", "critical")
     ]
 
 
 def parse_arguments() -> Namespace:
     """Parses the command line."""
-    parser = ArgumentParser(description="Plays random faults on the platform's daemons.")
+    parser = ArgumentParser(description="Injects random faults into the platform's daemons.")
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--seeds", type=int, default=1, help="how many, from --seed on")
+    parser.add_argument("--seeds", type=int, default=1, help="number of seeds, from --seed on")
     parser.add_argument("--length-s", type=float, default=DEFAULT_LENGTH_S)
-    parser.add_argument("--regressions", action="store_true", help="seeds that have failed once")
+    parser.add_argument("--regressions", action="store_true", help="seeds that have failed before")
     return parser.parse_args()
 
 
 def main() -> int:
-    """Plays the seeds; 1 if something was not kept."""
+    """Runs the seeds and returns the exit status: 1 if a guarantee was violated."""
     arguments = parse_arguments()
-    signal.signal(signal.SIGTERM, lambda *_: sys.exit(1))  # ends what was started, too
+    signal.signal(signal.SIGTERM, lambda *_: sys.exit(1))  # also ends the started processes
     failed = []
     seeds = range(arguments.seed, arguments.seed + arguments.seeds)
     lengths_s = FAILED_SEEDS if arguments.regressions else dict.fromkeys(seeds, arguments.length_s)
     for seed, length_s in lengths_s.items():
         folder = Path(mkdtemp(prefix=f"berylproxy-soak-{seed}-"))
-        problems = play(seed, length_s, folder)
-        for problem in problems[:SHOWN_PROBLEMS]:
+        problems = run_seed(seed, length_s, folder)
+        for problem in problems[:MAX_SHOWN_PROBLEMS]:
             print(f"  {problem}")
         if problems:
             failed.append(seed)
--- a/tools/soak/callers.py
+++ b/tools/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers that keep their connections open and record what they ask and are told."""
+"""Callers that keep their connections open and record their requests and the answers."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -10,21 +10,22 @@
 
 from tests.support.platform_cluster import HOST, PREFIX
 
-CALL_TIMEOUT_S = 8.0  # above the queue's timeout, after which a daemon must have answered
-KEPT_SHARE = 0.3
-MOST_TASKS = 4
+CALL_TIMEOUT_S = 8.0  # longer than the queue's timeout, by which a daemon must have answered
+DURABLE_SHARE = 0.3
+MAX_TASKS_PER_JOB = 4
 MEAN_PAUSE_S = 0.15
-MOST_TRIES = 12
-RETRY_PAUSE_S = 0.3
+MAX_ATTEMPTS = 12
+RETRY_DELAY_S = 0.3
 NOT_RUN_STATUSES = (429, 503)
 
 
 @dataclass(slots=True)
 class Call:
-    """One request and what came of it.
+    """One request and its result.
 
-    :param status: of the answer; 0 if none came.
-    :param problem: why none came.
+    :param status: status of the answer; 0 if there was none.
+    :param state: state of the job in the answer; empty if there was none.
+    :param problem: why there was no answer.
     """
 
     daemon: int
@@ -37,23 +38,23 @@
 
 @dataclass(slots=True)
 class SoakJob:
-    """A job and all requests that handed it in."""
+    """A job and all requests that submitted it."""
 
     job_id: str
     tasks: int
-    is_kept: bool
+    is_durable: bool
     calls: list[Call] = field(default_factory=list)
 
     @property
     def is_accepted(self) -> bool:
-        """Whether a daemon has answered that it is taken, or done."""
+        """Whether a daemon has confirmed its acceptance or its completion."""
         return any(call.status == 200 for call in self.calls)
 
 
 class SoakCallers:
-    """Some callers, each a thread with a client of its own.
+    """A number of callers, each a thread with its own HTTP client.
 
-    :param url_of: gives the URL of a daemon's callers' address.
+    :param url_of: returns the URL at which callers reach a daemon.
     """
 
     def __init__(self, seed: int, count: int, daemons: int, url_of: Callable[[int], str]) -> None:
@@ -61,30 +62,30 @@
         self._daemons = daemons
         self._url_of = url_of
         self._lock = Lock()
-        self._is_over = False
+        self._is_stopping = False
         self._threads = [
             Thread(target=self._run, args=(Random(f"{seed}-{n}"),)) for n in range(count)
         ]
 
     def start(self) -> None:
-        """Begins to call."""
+        """Starts the callers."""
         for thread in self._threads:
             thread.start()
 
     def stop(self) -> None:
-        """Begins no new job and waits for those under way."""
-        self._is_over = True
+        """Stops submitting new jobs and waits for the calls in progress."""
+        self._is_stopping = True
         for thread in self._threads:
             thread.join()
 
     def _run(self, random: Random) -> None:
         limits = Limits(max_keepalive_connections=self._daemons)
         with Client(trust_env=False, timeout=CALL_TIMEOUT_S, limits=limits) as client:
-            while not self._is_over:
+            while not self._is_stopping:
                 job = SoakJob(
                     f"{random.getrandbits(64):016x}",
-                    random.randint(1, MOST_TASKS),
-                    random.random() < KEPT_SHARE,
+                    random.randint(1, MAX_TASKS_PER_JOB),
+                    random.random() < DURABLE_SHARE,
                 )
                 with self._lock:
                     self.jobs.append(job)
@@ -92,17 +93,17 @@
                 sleep(random.expovariate(1 / MEAN_PAUSE_S))
 
     def _submit_until_accepted(self, client: Client, random: Random, job: SoakJob) -> None:
-        """Hands a job in; one that is kept again and again until its fate is known."""
-        for _ in range(MOST_TRIES if job.is_kept else 1):
+        """Submits a job; retries a durable job until it is accepted or refused as not run."""
+        for _ in range(MAX_ATTEMPTS if job.is_durable else 1):
             call = self._submit(client, random.randrange(self._daemons), job)
             job.calls.append(call)
             if call.status == 200 or call.status in NOT_RUN_STATUSES:
                 return
-            sleep(RETRY_PAUSE_S)
+            sleep(RETRY_DELAY_S)
 
     def _submit(self, client: Client, daemon: int, job: SoakJob) -> Call:
         step = {"count": job.tasks, "cpu": 20000, "mem-mb": 64, "estimate-ms": 100}
-        body = {"spec": "soak", "steps": [step], "best-effort": not job.is_kept}
+        body = {"spec": "soak", "steps": [step], "best-effort": not job.is_durable}
         sent_s = monotonic()
         try:
             answer = client.post(
--- a/tools/soak/regressions.py
+++ b/tools/soak/regressions.py
@@ -1,4 +1,4 @@
-"""Seeds that have failed once, with the cause; ``--regressions`` plays them again."""
+"""Seeds that have failed before, with the causes; ``--regressions`` runs them again."""
 
 FAILED_SEEDS = {
     # SIGHUP or a second SIGTERM during a planned stop ended the daemon with requests in flight.
@@ -8,7 +8,7 @@
     9: 12.0,
     104: 12.0,
     108: 12.0,
-    # The soak itself started a daemon twice at one address when two stops ended together.
+    # The soak itself started a daemon twice at one address when two stops ended simultaneously.
     409: 12.0,
 }
-"""Lengths of the schedules in seconds, by seed."""
+"""Length of the schedule in seconds, by seed."""
--- a/tools/soak/schedule.py
+++ b/tools/soak/schedule.py
@@ -1,4 +1,4 @@
-"""Which faults a seed brings, and when. Pure."""
+"""Generates the random schedule of faults for a seed. Pure."""
 
 from random import Random
 
@@ -6,11 +6,11 @@
 
 FIRST_FAULT_S = 0.5
 MEAN_PAUSE_S = 0.6  # shorter than most faults, so that they overlap
-LONGEST_FAULT_S = 3.0  # well above the second after which leases lapse
-SERIES_SHARE = 0.2  # of faults that come again at once, on the same target
+LONGEST_FAULT_S = 3.0  # well above the 1 s after which leases lapse
+SERIES_SHARE = 0.2  # share of faults that are repeated immediately on the same target
 SERIES_PAUSE_S = 0.3
 
-# By weight: what is frequent on the platform comes more often.
+# With weights: faults that are frequent on the platform are drawn more often.
 DAEMON_KINDS = {
     "kill daemon": 3,
     "freeze daemon": 3,
@@ -32,7 +32,7 @@
 
 
 def make_schedule(seed: int, length_s: float, daemons: int, runners: int) -> list[Fault]:
-    """Makes the faults of a run, in the order of their beginnings.
+    """Draws the faults of a run, ordered by their start.
 
     :param length_s: time by which all faults have ended.
     """
