--- a/tests/steps/platform_soak_steps.py
+++ b/tests/steps/platform_soak_steps.py
@@ -2,12 +2,12 @@
 
 from behave import then, when
 
-from tools.soak.__main__ import play
+from tools.soak.__main__ import run_seed
 
 
 @when("the soak test runs with seed {seed:d} for {length_s:g} s")
 def step_run_soak(context, seed, length_s):
-    context.problems = play(seed, length_s, context.folder)
+    context.problems = run_seed(seed, length_s, context.folder)
 
 
 @then("the soak test finds no problem")
