--- a/standins/cluster.py
+++ b/standins/cluster.py
@@ -107,9 +107,9 @@
         self.apply("pools", POOL, {"schema_version": 1})
         self.apply("services", SERVICE, service)
         for number, plan in enumerate(self.endpoint_plans):
-            self.apply("endpoints", f"e{number}", self.describe_endpoint(number, plan))
+            self.apply("endpoints", f"e{number}", self.make_endpoint_record(number, plan))
 
-    def describe_endpoint(self, number: int, plan: EndpointPlan) -> dict:
+    def make_endpoint_record(self, number: int, plan: EndpointPlan) -> dict:
         """Builds the record of an endpoint."""
         return {
             "schema_version": 1,
--- a/standins/endpoint.py
+++ b/standins/endpoint.py
@@ -43,14 +43,14 @@
     """Fault switches; ``None`` leaves a switch unchanged.
 
     :param speed: factor by which tasks run faster.
-    :param fail_everything: answers 500 without running the task.
+    :param fail_everything: starts each task but ends it immediately, with status 500.
     :param freeze: accepts requests but starts no task, and never answers a request that arrived or
         a task that ended while frozen.
-    :param silent: permanently drops all bytes of the connections that are open at that moment.
+    :param silent: permanently drops all bytes of the connections that are open when it is set.
     :param leaving: refuses tasks with the code ``leaving``.
     :param truncate: sends half of the announced body, then closes the connection.
-    :param oversize_bytes: length of the padding added to each response.
-    :param late_s: delay added before each response.
+    :param oversize_bytes: length of the padding added to the response of each finished task.
+    :param late_s: delay added before the response of each finished task.
     """
 
     speed: float | None = None
--- a/standins/key_values.py
+++ b/standins/key_values.py
@@ -91,7 +91,10 @@
         self.record(StoredValue(key, value, created, revision, lease_id))
 
     def delete(self, key: bytes, range_end: bytes = b"") -> int:
-        """Deletes the existing keys of a range at one new revision; returns their number."""
+        """Deletes a key or a range at one new revision and returns the number of deleted keys.
+
+        The revision stays the same if there is no such key.
+        """
         keys_to_delete = [stored.key for stored in self.select(key, range_end)]
         self.delete_keys(keys_to_delete)
         return len(keys_to_delete)
--- a/standins/platform_store.py
+++ b/standins/platform_store.py
@@ -33,7 +33,7 @@
         self.lost_answers = 0
 
     async def get_key(self, request: Request) -> Response:
-        """Returns one key."""
+        """Returns the entry of one key."""
         stored = self.values.state.values.get(request.query_params["key"].encode())
         if self.busy:
             return Response(status_code=503)
--- a/standins/process.py
+++ b/standins/process.py
@@ -18,7 +18,7 @@
 
 
 class ProcessStartError(Exception):
-    """The process ended, or timed out, before it printed its first line."""
+    """The process ended or timed out before its first line, or that line was not JSON."""
 
 
 class ManagedProcess:
@@ -82,7 +82,8 @@
     def start(self) -> None:
         """Starts the process and waits for its first line.
 
-        :raises ProcessStartError: if the line is not printed in time or is not JSON.
+        :raises ProcessStartError: if the line is not printed in time or is not JSON, with the
+            process's error output.
         """
         with self.stderr_path.open("ab") as stderr:
             self.child = subprocess.Popen(
--- a/standins/relay.py
+++ b/standins/relay.py
@@ -20,7 +20,8 @@
 
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER of 0 s: close sends RST
 LOSS_SEED = 1
-# After one side has closed; hypercorn keeps a connection open that its client has closed.
+# Time from the close by one side to the close of the relayed connection, which is needed because
+# hypercorn keeps a connection open that its client has closed.
 HALF_CLOSE_TIMEOUT_S = 0.5
 
 
@@ -28,7 +29,7 @@
     """Fault switches of the relayed link; ``None`` leaves a switch unchanged.
 
     :param cut: resets all connections and refuses new ones.
-    :param silent: permanently drops all bytes of the connections that are open at that moment.
+    :param silent: permanently drops all bytes of the connections that are open when it is set.
     :param delay_s: delay of each chunk, in both directions.
     :param lose_share: share of chunks that are lost; the connection of a lost chunk permanently
         drops all further bytes.
@@ -150,7 +151,10 @@
         return active + self.connecting >= self.max_connections
 
     async def relay_connection(self, client: SocketStream) -> None:
-        """Relays one connection until it is closed; closes it at once if the limit is reached."""
+        """Relays one connection until it is closed.
+
+        Closes it immediately if the limit is reached or the target can't be reached.
+        """
         async with client:
             if self.is_full():
                 return
--- a/standins/runner.py
+++ b/standins/runner.py
@@ -20,7 +20,7 @@
 from standins.runner_model import RunnerModel
 from standins.serving import announce, open_listener, port_of, serve_app
 
-HEARTBEAT_S = 0.5
+HEARTBEAT_INTERVAL_S = 0.5
 MAX_LEASE_S = 1.0
 WRONG_INSTANCE_STATUS = 421
 REASONS = {
@@ -59,7 +59,10 @@
         return int((monotonic() - self.started_s) * 1000)
 
     def convert_lease_end_s(self, until_ms: int) -> float:
-        """Converts a lease's end to ``monotonic()`` time, at most :data:`MAX_LEASE_S` ahead."""
+        """Converts a lease's end from the runner's clock to ``monotonic()`` time.
+
+        The result is at most :data:`MAX_LEASE_S` ahead, the longest lease of a runner.
+        """
         remaining_s = (until_ms - self.clock_ms()) / 1000
         return monotonic() + min(remaining_s, MAX_LEASE_S)
 
@@ -140,7 +143,7 @@
                 }
                 url = f"{self.store_url}/control/put"
                 await client.post(url, json={"key": f"servers/{self.name}", "value": entry})
-                await anyio.sleep(HEARTBEAT_S)
+                await anyio.sleep(HEARTBEAT_INTERVAL_S)
 
     def is_for_other_instance(self, request: Request) -> bool:
         """Returns whether the request is addressed to another instance of the runner."""
@@ -187,8 +190,8 @@
     parser.add_argument("--store-url", required=True)
     parser.add_argument("--cores", type=int, default=64)
     parser.add_argument("--run-time-s", type=float, default=0.05)
-    parser.add_argument("--advertise", default="", help="host:port for the list, if not its own")
-    parser.add_argument("--history-path", default="", help="file for what it starts and ends")
+    parser.add_argument("--advertise", default="", help="host:port to publish, if not its own")
+    parser.add_argument("--history-path", default="", help="file for the starts and ends of tasks")
     anyio.run(run, parser.parse_args())
 
 
--- a/standins/runner_model.py
+++ b/standins/runner_model.py
@@ -36,9 +36,11 @@
     :ivar late_starts: number of the next starts that take effect late and get no answer.
     :ivar late_by_s: delay of the late starts.
     :ivar lease_end_s: time at which runs lapse unless the lease is extended.
+    :ivar ended: ends of runs that the holder has not acknowledged yet.
     :ivar highest_runs: highest run number by task that was started or stopped; a start needs a
         higher one.
     :ivar rejected_jobs: identifiers of jobs whose orders are rejected as malformed.
+    :ivar changed: event that is set and replaced by a new one at each end of a run.
     :ivar on_event: called with each entry of the history.
     :ivar end_kinds_by_job: how the runs of a job end, by its identifier; done by default.
     """
--- a/standins/store.py
+++ b/standins/store.py
@@ -39,7 +39,8 @@
 
     :param outage: whether calls are refused or, with the mode ``silent``, hang.
     :param delay_s: delay before each call takes effect.
-    :param lose_answers: number of the next writes that take effect but get no response.
+    :param lose_answers: number of the next writes that take effect but get no response, as their
+        connections are reset.
     :param revision_rollback: restores the state of the last ``POST /control/snapshot``.
     :param vms: rows of the list of VMs.
     :param vms_lag_s: time after which a new list of VMs becomes visible.
@@ -142,9 +143,15 @@
 
     def run_range(self, message: Message) -> Message:
         """Returns the values of a key or a range."""
-        found = self.values.select(decode_field(message, "key"), decode_field(message, "range_end"))
-        answer = {"header": self.header(), "count": str(len(found))}
-        return answer | {"kvs": [encode_key_value(stored) for stored in found]} if found else answer
+        matches = self.values.select(
+            decode_field(message, "key"), decode_field(message, "range_end")
+        )
+        answer = {"header": self.header(), "count": str(len(matches))}
+        return (
+            answer | {"kvs": [encode_key_value(stored) for stored in matches]}
+            if matches
+            else answer
+        )
 
     def run_txn(self, message: Message) -> Message:
         """Runs a transaction: the success or the failure branch, depending on its conditions."""
@@ -156,13 +163,13 @@
 
     def is_condition_met(self, compare: Message) -> bool:
         """Returns whether a condition of a transaction holds; an absent key has revision 0."""
-        found = self.values.select(decode_field(compare, "key"), b"")
+        matches = self.values.select(decode_field(compare, "key"), b"")
         match compare["target"]:
             case "MOD":
-                actual = found[0].mod_revision if found else 0
+                actual = matches[0].mod_revision if matches else 0
                 return actual == int(compare.get("mod_revision", 0))
             case "CREATE":
-                actual = found[0].create_revision if found else 0
+                actual = matches[0].create_revision if matches else 0
                 return actual == int(compare.get("create_revision", 0))
         raise invalid_argument("unknown target")
 
@@ -219,7 +226,7 @@
         return StreamingResponse(self.stream_changes(message), media_type="application/json")
 
     async def stream_changes(self, message: Message) -> AsyncIterator[str]:
-        """Yields the lines of a watch until it is compacted away or an outage refuses calls."""
+        """Yields the lines of a watch until its changes are compacted or an outage refuses it."""
         key, range_end = decode_field(message, "key"), decode_field(message, "range_end")
         revision = int(message.get("start_revision", 0)) or self.values.state.revision + 1
         self.watches_open += 1
@@ -279,8 +286,8 @@
         """Returns the number of calls of each kind; a watch counts as one call."""
         return JSONResponse({"calls": self.counts, "watches_open": self.watches_open})
 
-    async def expire_leases(self) -> None:
-        """Periodically revokes expired leases, also while no calls arrive."""
+    async def run_lease_expiry(self) -> None:
+        """Periodically revokes expired leases, also while no calls arrive, until cancelled."""
         while True:
             await anyio.sleep(LEASE_CHECK_INTERVAL_S)
             self.values.expire_leases()
@@ -293,7 +300,7 @@
 
 
 def has_written(kind: str, response: Message) -> bool:
-    """Returns whether a call has changed the store."""
+    """Returns whether a call is a write: a change of a lease or a transaction that succeeded."""
     return kind in ("lease_grant", "lease_revoke") or bool(response.get("succeeded"))
 
 
@@ -305,7 +312,7 @@
     announce(port=store.relay.port)
     async with anyio.create_task_group() as group:
         group.start_soon(store.relay.run)
-        group.start_soon(store.expire_leases)
+        group.start_soon(store.run_lease_expiry)
         group.start_soon(serve_app, Starlette(routes=store.routes()), listener)
 
 
--- a/tests/standins/endpoint.feature
+++ b/tests/standins/endpoint.feature
@@ -34,7 +34,7 @@
     Then the stand-in gives "ReadTimeout" to the task "t1"
     And the log of the stand-in has ""
 
-  Scenario: It fails all tasks without running them
+  Scenario: It fails all tasks immediately
     When the stand-in's switches are {"fail_everything": true}
     And the stand-in gets the task "t1" with {"run_time_s": 3600}
     Then the stand-in answers 500
--- a/tests/steps/standins_steps.py
+++ b/tests/steps/standins_steps.py
@@ -33,8 +33,8 @@
     context.add_cleanup(folder.cleanup)
     context.folder = Path(folder.name)
     context.log_path = context.folder / "log"
-    fixed = ["--name", "e1", "--log", str(context.log_path)]
-    context.endpoint = start_process(context, "e1", "standins.endpoint", *fixed, *arguments)
+    options = ["--name", "e1", "--log", str(context.log_path)]
+    context.endpoint = start_process(context, "e1", "standins.endpoint", *options, *arguments)
     context.client = httpx.Client(timeout=TIMEOUT_S)
     context.add_cleanup(context.client.close)
 
--- a/tests/steps/tools_steps.py
+++ b/tests/steps/tools_steps.py
@@ -19,7 +19,7 @@
     )
 
 
-@then("the schedule held every condition")
+@then("every condition held")
 def step_held(context):
     output = context.prove.stdout
     last = output.splitlines()[-1] if output else ""
--- a/tests/tools/prove.feature
+++ b/tests/tools/prove.feature
@@ -2,4 +2,4 @@
 
   Scenario: The schedule of a fixed seed violates no condition
     When the random schedule of seed 1 is run
-    Then the schedule held every condition
+    Then every condition held
--- a/tools/bench/baseline.py
+++ b/tools/bench/baseline.py
@@ -1,7 +1,7 @@
 """A baseline daemon without coordination: it chooses endpoints randomly or by round robin.
 
-It uses at most its share of each endpoint's connections. A task that an endpoint refuses is sent to
-the next choice, with a short pause after each round of refusals.
+It uses at most its share of each endpoint's connections. A task that an endpoint refuses for lack
+of room is sent to the next choice, with a short pause after each round of refusals.
 """
 
 import json
--- a/tools/bench/bound.py
+++ b/tools/bench/bound.py
@@ -17,7 +17,7 @@
     """The waiting and running time of one task.
 
     :param arrived_s: when the task arrived.
-    :param started_s: when its slot became free and the task started.
+    :param started_s: when the task started in its slot.
     """
 
     arrived_s: float
@@ -29,7 +29,8 @@
 class Bound:
     """The assignment of all tasks.
 
-    :param slowdowns: for each arrival, its latency relative to its run time on an idle system.
+    :param slowdowns: for each arrival, its latency divided by the run time of its longest task on
+        the fastest endpoint.
     """
 
     slowdowns: list[float]
--- a/tools/bench/report.py
+++ b/tools/bench/report.py
@@ -16,8 +16,8 @@
 
 def format_spread(values: Iterable[float]) -> str:
     """Formats the median, minimum and maximum."""
-    known = sorted(values)
-    return f"{median(known):.3g} ({known[0]:.3g}-{known[-1]:.3g})"
+    ordered = sorted(values)
+    return f"{median(ordered):.3g} ({ordered[0]:.3g}-{ordered[-1]:.3g})"
 
 
 def print_spread(scenario: str, reports: list[dict]) -> None:
--- a/tools/bench/summary.py
+++ b/tools/bench/summary.py
@@ -18,8 +18,8 @@
 class PolicySummary:
     """The figures of one policy.
 
-    :param wasted_per_task: messages without useful work by kind; ``total`` excludes control
-        traffic.
+    :param wasted_per_task: messages without useful work per task, by kind; ``total`` excludes
+        control traffic.
     :param late_p99_s: 99th percentile of the delay with which the load program sent arrivals.
     """
 
--- a/tools/bench/throughput.py
+++ b/tools/bench/throughput.py
@@ -1,7 +1,8 @@
 """Measures task starts per processor second of a daemon and compares them with direct calls.
 
 ``python -m tools.bench.throughput`` submits jobs of tasks without run time, one call per job, which
-a daemon sends to stand-in endpoints. The daemon's processor time is read from ``/proc``.
+a daemon sends to stand-in endpoints. The same run measures direct calls to one of the endpoints.
+The daemon's processor time is read from ``/proc``.
 """
 
 import json
@@ -38,7 +39,10 @@
 
 
 async def call_many(call: Callable[[], Awaitable[None]]) -> float:
-    """Makes :data:`DIRECT_CALLS` concurrent calls and returns the calls per processor second."""
+    """Makes :data:`DIRECT_CALLS` calls and returns the calls per processor second.
+
+    :data:`CALLS_AT_ONCE` of the calls run concurrently.
+    """
     remaining = DIRECT_CALLS
 
     async def work() -> None:
--- a/tools/measure_membership.py
+++ b/tools/measure_membership.py
@@ -148,8 +148,8 @@
             daemon.kill()
             daemon.wait()
 
-    def count(self, daemon: subprocess.Popen) -> dict:
-        """Asks a daemon for its counters."""
+    def read_counters(self, daemon: subprocess.Popen) -> dict:
+        """Requests a daemon's counters and returns them."""
         daemon.stdin.write("\n")
         daemon.stdin.flush()
         return self._read(daemon, "cpu_s")
@@ -157,7 +157,7 @@
     def collect_changes(self, daemons: list[subprocess.Popen]) -> list[dict]:
         """Returns all changes that the daemons have printed since the last call."""
         for daemon in daemons:
-            self.count(daemon)
+            self.read_counters(daemon)
         changes, self.changes = self.changes, []
         return changes
 
@@ -168,6 +168,7 @@
         return subprocess.Popen(command, text=True, env=self._environment, **pipes)
 
     def _read(self, daemon: subprocess.Popen, key: str) -> dict:
+        """Returns a daemon's next line that has a key; records the changes read until then."""
         while True:
             line = json.loads(daemon.stdout.readline())
             if "change" in line:
@@ -182,9 +183,9 @@
     for count in DAEMON_COUNTS:
         with Fleet(count, *variants) as fleet:
             time.sleep(SETTLE_S)
-            before = [fleet.count(daemon) for daemon in fleet.daemons]
+            before = [fleet.read_counters(daemon) for daemon in fleet.daemons]
             time.sleep(COST_WINDOW_S)
-            after = [fleet.count(daemon) for daemon in fleet.daemons]
+            after = [fleet.read_counters(daemon) for daemon in fleet.daemons]
         rows.append((count, *average_rates(before, after)))
         alive = min(line["alive"] for line in after)
         memory_mb = max(line["memory_kb"] for line in after) / 1024
--- a/tools/run_tests.py
+++ b/tools/run_tests.py
@@ -27,7 +27,10 @@
 
 
 def list_shards(paths: list[str]) -> list[list[str]]:
-    """Divides the features into shards to run in parallel: clusters, platform and the rest."""
+    """Divides the features into shards that run in parallel.
+
+    There are three: tests with clusters of daemons, the platform, and all others.
+    """
     if paths:
         return [paths]
     folders = sorted(path.parent for path in (ROOT / "tests").glob("*/*.feature"))
@@ -86,7 +89,7 @@
 
 
 def is_known_red(scenario: str, known_red: str) -> bool:
-    """Returns whether ``KNOWN-RED.txt`` lists the scenario in a ``test:`` line."""
+    """Returns whether ``test:`` and the scenario's name are a whole line of ``KNOWN-RED.txt``."""
     name = scenario.split(": ", 1)[1]
     return any(line.strip() == f"test: {name}" for line in known_red.splitlines())
 
--- a/tools/slopes.py
+++ b/tools/slopes.py
@@ -135,11 +135,11 @@
     """Creates an object and returns the memory that it retains."""
     gc.collect()
     tracemalloc.start()
-    held = make()
+    created = make()
     gc.collect()
     memory_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    del held
+    del created
     return memory_bytes
 
 
@@ -158,9 +158,9 @@
     for daemons in DAEMON_COUNTS:
         with Fleet(daemons) as fleet:
             time.sleep(SETTLE_S)
-            before = [fleet.count(daemon) for daemon in fleet.daemons]
+            before = [fleet.read_counters(daemon) for daemon in fleet.daemons]
             time.sleep(MEMBERSHIP_WINDOW_S)
-            after = [fleet.count(daemon) for daemon in fleet.daemons]
+            after = [fleet.read_counters(daemon) for daemon in fleet.daemons]
             resident_mb = max(read_resident_mb(daemon.pid) for daemon in fleet.daemons)
         payload, with_headers, processor_percent = average_rates(before, after)
         add_point(
@@ -321,7 +321,7 @@
     codec = MessageCodec(PLACE_MESSAGES)
     issuer = "f" * 12
     summary = HolderSummary("pool", "domain-1", 9, 0, 192, 640.5, (0.3123,) * 8)
-    held = HeldSlot(issuer, 1_000_000, "endpoint-100", "enquiry", "team-100")
+    held_slot = HeldSlot(issuer, 1_000_000, "endpoint-100", "enquiry", "team-100")
     grant = SlotGrant(1_000_000, "endpoint-100", "enquiry", "team-100", ())
     release = SlotRelease(issuer, 1_000_000, "endpoint-100", "enquiry", "done", 0.3123)
     entry = DemandEntry("enquiry", "team-100", (), 9, 0.0123)
@@ -329,7 +329,9 @@
     for size in MESSAGE_SIZES:
         messages = {
             "demand_bytes": UpdateDemand("pool", "domain-1", (entry,) * size, 1_000_000),
-            "held_report_bytes": UpdateDemand("pool", "domain-1", (), 1_000_000, (held,) * size),
+            "held_report_bytes": UpdateDemand(
+                "pool", "domain-1", (), 1_000_000, (held_slot,) * size
+            ),
             "grants_bytes": GrantSlots("pool", "domain-1", (grant,) * size, summary),
             "releases_bytes": ReleaseSlots("pool", "domain-1", (release,) * size),
         }
--- a/tools/soak/__main__.py
+++ b/tools/soak/__main__.py
@@ -25,7 +25,8 @@
 CALLERS = 10
 RUN_TIME_S = 0.3
 DEFAULT_LENGTH_S = 20.0
-# Until all daemons serve, and all report each accepted durable job as completed.
+# Time after the faults within which all daemons must serve again, and all must report each accepted
+# durable job as completed.
 RECOVERY_TIMEOUT_S = 15.0
 MAX_SHOWN_PROBLEMS = 8
 FIRST_SUBNET, SUBNETS = 2, 250  # of 127.0.x.0, so that soaks can run in parallel
--- a/tools/soak/callers.py
+++ b/tools/soak/callers.py
@@ -47,7 +47,7 @@
 
     @property
     def is_accepted(self) -> bool:
-        """Whether a daemon has confirmed its acceptance or its completion."""
+        """Whether a daemon has reported that the job is accepted or completed."""
         return any(call.status == 200 for call in self.calls)
 
 
@@ -93,7 +93,10 @@
                 sleep(random.expovariate(1 / MEAN_PAUSE_S))
 
     def _submit_until_accepted(self, client: Client, random: Random, job: SoakJob) -> None:
-        """Submits a job; retries a durable job until it is accepted or refused as not run."""
+        """Submits a job once, or a durable job until it is accepted or refused as not run.
+
+        A durable job is submitted at most :data:`MAX_ATTEMPTS` times.
+        """
         for _ in range(MAX_ATTEMPTS if job.is_durable else 1):
             call = self._submit(client, random.randrange(self._daemons), job)
             job.calls.append(call)
--- a/tools/soak/judge.py
+++ b/tools/soak/judge.py
@@ -7,7 +7,7 @@
 from tools.soak.callers import NOT_RUN_STATUSES, SoakJob
 
 NO_ANSWER_PROBLEMS = ("not connected", "ReadTimeout", "WriteTimeout", "PoolTimeout")
-# Between the last bytes that a stopping daemon sends and the end of its process.
+# Longest time between the last bytes that a stopping daemon sends and the end of its process.
 PROCESS_END_TOLERANCE_S = 0.5
 MAX_ANSWER_TIME_S = 6.0  # the queue's timeout is 5 s
 
--- a/tools/soak/world.py
+++ b/tools/soak/world.py
@@ -16,7 +16,7 @@
 DELAY_S = 0.15
 LOST_CHUNK_SHARE = 0.05
 LOST_ANSWERS = 3
-PLACEHOLDER_PORT = 9  # target of a relay until its runner has announced its port
+PLACEHOLDER_PORT = 9  # the discard port; target of a relay until its runner has announced its port
 STOP_TIMEOUT_S = 10.0
 
 
@@ -28,7 +28,8 @@
     :ivar stop_spans: numbers of daemons that were stopped, with the times of the signal and of the
         end of the process.
     :ivar runner_kill_times_s: when runners were killed, by the history path of the instance.
-    :ivar exit_statuses: numbers and exit statuses of daemons that were stopped while serving.
+    :ivar exit_statuses: numbers and exit statuses of daemons that were stopped, without those that
+        were killed meanwhile or ended by SIGTERM before they served.
     :ivar start_counts: number of starts of each daemon.
     """
 
@@ -75,7 +76,7 @@
         FAULT_STARTS[fault.kind](self, fault.target)
 
     def end_fault(self, fault: Fault) -> None:
-        """Removes a fault."""
+        """Removes a fault; kinds such as a reload have no removal."""
         FAULT_ENDS.get(fault.kind, lambda *_: None)(self, fault.target)
 
     def switch_relay(self, name: str, **switches: object) -> None:
@@ -113,7 +114,7 @@
         ]
 
     def stop_daemon(self, number: int) -> None:
-        """Stops a daemon with SIGTERM, waits for its end and records a failed exit status."""
+        """Stops a daemon with SIGTERM, waits for its end and records its exit status."""
         if not self.daemons[number].is_running():
             return
         since_s = monotonic()
