--- a/berylproxy/durable/acceptance.py
+++ b/berylproxy/durable/acceptance.py
@@ -1,6 +1,6 @@
 """Decides whether to accept a new job, or to refuse it with a time to retry after.
 
-Without a clock or sockets. Made for bursts above the capacity: a job whose answer would come too
+Uses no clock and no sockets. Made for bursts above the capacity: a job whose answer would come too
 late to be worth anything takes resources from jobs that could still end in time.
 """
 
@@ -51,7 +51,8 @@
 ) -> Backlog:
     """Sums up the work that will be placed before a job with a given deadline.
 
-    :param deadline_s: monotonic time; only the running tasks of open jobs that are due later count.
+    :param deadline_s: monotonic time; of open jobs that are due later, only the tasks that have
+        been started count.
     """
     work_core_s = 0.0
     for job in jobs:
--- a/berylproxy/durable/best_effort.py
+++ b/berylproxy/durable/best_effort.py
@@ -118,7 +118,7 @@
     def _open(self, message: JobSubmission, entry: str) -> JobSubmissionReply | None:
         """Opens a job; returns the reply if it is refused or has ended already."""
         spec, now_s = message.job, self._tenure.clock.now_s()
-        # An earlier holder may have accepted the job: a change of holder must not refuse it.
+        # An earlier holder may have accepted the job, which is not refused for a change of holder.
         admission = self._admit(spec, now_s + message.wait_s, message.attempt > 0)
         if admission.refusal is not None:
             return admission.refusal
@@ -153,7 +153,7 @@
         )
 
     def drop_unneeded(self, now_s: float, is_entry_alive: Callable[[str], bool]) -> None:
-        """Ends the jobs whose entry daemon has gone or that cannot end in time."""
+        """Ends the jobs whose entry daemon sends no more messages, or that cannot end in time."""
         for job in list(self._job_table.jobs.values()):
             if job.spec.is_durable or job.is_final:
                 continue
--- a/berylproxy/durable/coordinator.py
+++ b/berylproxy/durable/coordinator.py
@@ -74,7 +74,7 @@
 HOLDER_CHECK_INTERVAL_S = 0.05
 HEARTBEAT_PART = "durable"
 CLAIM_RETRY_DELAY_S = 0.15  # after a claim that the store did not answer
-DIVISION_CHECK_INTERVAL_S = 0.5  # between two reads of the endpoint list, before the first start
+DIVISION_CHECK_INTERVAL_S = 0.5  # between two reads of the endpoint list, when a service is new
 STANDBY_REFRESH_INTERVAL_S = 2.0  # maximum age of the endpoint list that a new holder starts with
 ENTRY_DAEMON_TIMEOUT_S = 1.0  # two heartbeats between daemons, and their delays
 HOLDER_TIMEOUT_S = 2.0  # no requests are sent to a holder that has been silent for longer
@@ -103,7 +103,7 @@
     changed: Event = field(default_factory=Event)
 
     def set_holder(self, fence: int, incarnation: str, now_s: float) -> None:
-        """Records evidence of a holder, and wakes the tasks that wait for a change of holder."""
+        """Records the holder and that it is alive; wakes those that wait for a change of holder."""
         is_different = (fence, incarnation) != (self.fence, self.incarnation)
         self.fence, self.incarnation, self.last_seen_s = fence, incarnation, now_s
         if is_different:
@@ -160,7 +160,7 @@
             telemetry,
             self._notify,
             lambda: [member.identity.incarnation for member in self.live_members()],
-            self._has_store_elsewhere,
+            self._may_others_reach_store,
             self._is_entry_alive,
             lambda: self.remote_factor,
         )
@@ -193,7 +193,7 @@
     async def _refresh_standby_data(self) -> None:
         """Refreshes the data that a new holder starts with, until cancelled.
 
-        These are the endpoint list, which holders refresh themselves, and the learnt run times.
+        These are the endpoint list, which holders refresh themselves, and the learned run times.
         """
         while True:
             if not self.holders:
@@ -206,7 +206,7 @@
             await sleep(STANDBY_REFRESH_INTERVAL_S)
 
     async def _load_run_time_models(self, service: str) -> None:
-        """Loads the run times that the holders of a service's groups have learnt and stored.
+        """Loads the run times that the holders of a service's groups have learned and stored.
 
         One read of a key prefix, which may be stale and so is cheap, covers all groups. The prefix
         also matches services whose names begin with this service's name; these are skipped.
@@ -215,7 +215,7 @@
         try:
             entries, _ = await self._store.list_page(model_key(service), "", may_be_stale=True)
         except StoreError as error:
-            logger.debug("the learnt run times are unavailable: {}", error.message)
+            logger.debug("the learned run times are unavailable: {}", error.message)
             return
         for entry in entries:
             group = groups.get(entry.key, "")
@@ -339,7 +339,9 @@
         return self._clock.now_s() - known.last_seen_s
 
     def _check_holder(self, group: str) -> None:
-        """Takes a group over if its holder seems to have failed and no better candidate does so.
+        """Claims a group whose holder seems to have failed or is leaving.
+
+        Candidates that precede this daemon get the time to claim the group first.
 
         Without the store this daemon may become a provisional holder only. Its own provisional
         tenure ends once the store is available again.
@@ -425,6 +427,7 @@
         return ""
 
     async def _claim_group(self, group: str, observation: HolderObservation) -> None:
+        """Claims a group and runs a tenure over it, unless another daemon keeps the claim."""
         try:
             revision = await self._try_claim(group)
         except StoreError as error:
@@ -543,7 +546,7 @@
             if job.entry and not job.spec.is_durable
         }
 
-    def _has_store_elsewhere(self) -> bool:
+    def _may_others_reach_store(self) -> bool:
         """Returns whether another daemon may reach the store, as far as is known here.
 
         ``True`` also while this daemon reaches less than half of the others.
@@ -573,13 +576,14 @@
         return len(self.holders.keys() | self._claiming)
 
     def _handle_holder_heartbeat(self, sender: DaemonIdentity, message: HolderHeartbeat) -> None:
+        """Updates the known holder; a higher fence also ends this daemon's own tenure."""
         known = self.known_holders.setdefault(message.group, KnownHolder())
         if message.fence < known.fence:
             return
         if message.fence > known.fence:
             holder = self.holders.get(message.group)
             if holder is not None:
-                holder.tenure.end("another daemon has a newer claim")
+                holder.tenure.end("another daemon is the holder under a higher fence")
             self._telemetry.count("holder_changes", group=message.group)
             logger.info(
                 "new holder of {}: {}",
--- a/berylproxy/durable/estimates.py
+++ b/berylproxy/durable/estimates.py
@@ -79,7 +79,7 @@
         history.mean_log_s += rate * (observed + relative_log_speed - history.mean_log_s)
 
     def describe(self) -> dict[str, dict]:
-        """Returns the learnt estimates as plain values, for :meth:`adopt`."""
+        """Returns the learned estimates as plain values, for :meth:`adopt`."""
         queues = {
             name: [history.mean_log_s, history.task_count] for name, history in self._queues.items()
         }
--- a/berylproxy/durable/group.py
+++ b/berylproxy/durable/group.py
@@ -30,13 +30,14 @@
 from berylproxy.durable.tenure import Tenure
 from berylproxy.store.port import StoreUnavailableError
 
-# An endpoint must get no task from 2 s after the list shows it as leaving.
+# Fits the limit of 2 s within which an endpoint that the list shows as leaving must get no more
+# tasks.
 DIRECTORY_POLL_INTERVAL_S = 0.7
 RENEWAL_WAIT_S = 0.3  # leaves time for two more attempts within a lease of 1 s
 # While an endpoint remembers ends of runs whose jobs are open, it answers renewals at once.
 END_POLL_INTERVAL_S = 0.025
 RETRY_PAUSE_S = 0.05
-FIRST_CONTACT_TIMEOUT_S = 0.4  # reachable endpoints answer within some 4 ms
+FIRST_CONTACT_TIMEOUT_S = 0.4  # endpoints answer within some 4 ms; those that are cut off never do
 ORPHAN_GRACE_S = 0.2  # time in which entry daemons submit unfinished jobs again
 # 1 s without a message from an entry daemon, a renewal's wait and a margin. A holder that is cut
 # off from an endpoint has by then dropped the jobs of entry daemons on the other side of the
@@ -46,7 +47,7 @@
 # Share of the expected run time; endpoints report progress in hundredths of the real run time.
 STALL_LIMIT_PERCENT = 5
 MIN_STALL_LIMIT_S = 0.6
-UNLISTED_END_NUMBER = 0  # endpoints number the ends that they list from 1
+UNLISTED_END_NUMBER = 0  # of an end that no endpoint lists; those that are listed count from 1
 
 logger = Logger(__name__)
 
@@ -54,6 +55,7 @@
 class EndpointGroup:
     """The endpoints of a group under one tenure.
 
+    :param endpoint_list: this daemon's copy of the platform's list, which the group refreshes.
     :param is_in_group: returns whether an endpoint belongs to the group.
     :param on_end: called with each end of a run that was not known before, before the end is
         applied to its task.
@@ -66,7 +68,7 @@
         self,
         tenure: Tenure,
         directory: EndpointDirectory,
-        known_list: EndpointList,
+        endpoint_list: EndpointList,
         job_table: JobTable,
         model: RunTimeModel,
         is_in_group: Callable[[EndpointInfo], bool],
@@ -79,7 +81,7 @@
         self._tenure = tenure
         self._clock = tenure.clock
         self._directory = directory
-        self._known_list = known_list
+        self._endpoint_list = endpoint_list
         self._job_table = job_table
         self._model = model
         self._is_in_group = is_in_group
@@ -93,19 +95,20 @@
 
     async def follow_directory(self) -> None:
         """Reads the list of endpoints periodically until cancelled."""
-        if self._known_list.read_s:
-            self._apply_directory(self._known_list.endpoints)
+        if self._endpoint_list.read_s:
+            self._apply_directory(self._endpoint_list.endpoints)
         while True:
             try:
                 endpoints = await self._directory.fetch()
-                self._known_list.update(endpoints, self._clock.now_s())
+                self._endpoint_list.update(endpoints, self._clock.now_s())
                 self._apply_directory(endpoints)
             except StoreUnavailableError as error:
-                logger.debug("the list of endpoints is unavailable: {}", error.message)
+                logger.debug("the endpoint list is unavailable: {}", error.message)
             with move_on_after(DIRECTORY_POLL_INTERVAL_S):
                 await sleep(DIRECTORY_POLL_INTERVAL_S if self.has_read_list else RETRY_PAUSE_S)
 
     def _apply_directory(self, listed: tuple[EndpointInfo, ...]) -> None:
+        """Adds new endpoints, and marks those that have been missing in the list for too long."""
         now_s = self._clock.now_s()
         was_unavailable = now_s - self._list_read_s > 2 * DIRECTORY_POLL_INTERVAL_S + 1
         self._list_read_s = now_s
@@ -152,13 +155,13 @@
             wait_s = 0.0 if self._should_poll_at_once(endpoint) else RENEWAL_WAIT_S
             acknowledged = endpoint.next_acknowledgement()
             # If unanswered calls could extend the lease, this holder could never tell when it has
-            # lapsed.
+            # lapsed. For orphans see EndpointRun.is_orphan.
             should_let_lapse = endpoint.missed_calls or endpoint.has_orphans
             extend = bool(endpoint.runs) and not should_let_lapse
             try:
                 report = await client.renew(self._tenure.fence, acknowledged, wait_s, extend=extend)
             except FencedOffError:
-                self._tenure.end("an endpoint has a newer holder")
+                self._tenure.end("an endpoint has accepted a higher fence")
                 return
             except OtherInstanceError:
                 self._remove_endpoint(endpoint, "another instance answers at its address")
@@ -177,6 +180,7 @@
                     await self._wakeups[instance].wait()
 
     def _should_poll_at_once(self, endpoint: EndpointState) -> bool:
+        """Returns whether the next renewal asks for an answer at once, not after the next end."""
         return (
             not endpoint.is_contacted
             or bool(endpoint.ends or endpoint.missed_calls)
@@ -186,6 +190,7 @@
     def _note_missed_call(
         self, endpoint: EndpointState, client: EndpointClient, error: EndpointCallError
     ) -> None:
+        """Counts an unanswered call; requeues the tasks once the lease has certainly lapsed."""
         now_s = self._clock.now_s()
         if not endpoint.missed_calls:
             logger.info(
@@ -237,6 +242,7 @@
         self._unlisted_from_s.pop(instance, None)
 
     def _apply_report(self, endpoint: EndpointState, report: EndpointReport) -> None:
+        """Applies the ends and the active runs that an endpoint reports."""
         now_s = self._clock.now_s()
         if endpoint.missed_calls:
             logger.info(
@@ -262,6 +268,7 @@
     def _apply_running_task(
         self, endpoint: EndpointState, running: RunningTask, now_s: float
     ) -> None:
+        """Applies a reported run: adopts, stops or leaves it, as its job may be submitted again."""
         instance = endpoint.info.instance
         task = self._job_table.find_task(running.name)
         endpoint_run = endpoint.runs.get((running.name, running.run))
@@ -354,7 +361,7 @@
                     await client.stop(name, run, self._tenure.fence)
                     endpoint_run.stop_confirmed_s = self._clock.now_s()
                 except FencedOffError:
-                    self._tenure.end("an endpoint has a newer holder")
+                    self._tenure.end("an endpoint has accepted a higher fence")
                 except EndpointCallError as error:
                     logger.debug("a request to stop a run was not answered: {}", error.message)
 
@@ -367,7 +374,7 @@
         try:
             await client.stop(name, run, self._tenure.fence)
         except FencedOffError:
-            self._tenure.end("an endpoint has a newer holder")
+            self._tenure.end("an endpoint has accepted a higher fence")
             return
         except EndpointCallError as error:
             # The next report shows whether the run goes on.
@@ -388,6 +395,7 @@
         self._tenure.spawn(self._start, task, endpoint, order)
 
     async def _start(self, task: Task, endpoint: EndpointState, order: StartOrder) -> None:
+        """Sends a start order and applies its result."""
         instance, run = endpoint.info.instance, order.run
         self._wakeups[instance].set()
         outcome = await self._clients[instance].start(order)
@@ -425,8 +433,9 @@
         endpoint_run: EndpointRun | None,
         now_s: float,
     ) -> None:
+        """Applies any result of a start order but :attr:`StartOutcome.STARTED`."""
         if outcome is StartOutcome.FENCED_OFF:
-            self._tenure.end("an endpoint has a newer holder")
+            self._tenure.end("an endpoint has accepted a higher fence")
             return
         if outcome is StartOutcome.UNKNOWN:
             if endpoint_run is not None and endpoint_run.confirmed_s == inf:
@@ -453,8 +462,8 @@
     ) -> None:
         """Counts an order that an endpoint rejects as invalid as a failed run.
 
-        The likely cause is the content of the job, so that every other endpoint would reject it
-        too, without an end.
+        The likely cause is the content of the job. Every other endpoint would reject it too, so
+        without the count the order would be repeated endlessly.
         """
         endpoint.remove_run(task.name, run)
         if self._job_table.find_task(task.name) is None:
--- a/berylproxy/durable/groups.py
+++ b/berylproxy/durable/groups.py
@@ -8,7 +8,7 @@
 from math import ceil
 
 ENDPOINTS_PER_GROUP = 48  # a holder orders some 500 task starts a second with half a core
-MAX_GROUPS = 256  # of one service; bounds the effect of a corrupt stored value
+MAX_GROUPS = 256  # of one service; bounds the effect of a damaged stored value
 GROUP_SEPARATOR = "~"  # between a service's name, which can't contain it, and the group's number
 
 
--- a/berylproxy/durable/holder.py
+++ b/berylproxy/durable/holder.py
@@ -81,7 +81,7 @@
 # Limits of a tenure with durable jobs while the store does not answer this daemon:
 UNCONFIRMED_TENURE_S = 1.5  # another daemon may reach the store and replace the claim
 OUTAGE_TENURE_S = 10.0  # no other daemon can reach the store either
-# After that time, the leases that a former holder extended have lapsed.
+# After this time, the leases that a former holder extended have lapsed.
 FORMER_TENURE_LIMIT_S = UNCONFIRMED_TENURE_S + LEASE_LENGTH_S + 0.3
 
 logger = Logger(__name__)
@@ -247,6 +247,7 @@
             await self.group.close()
 
     async def _load_jobs(self) -> None:
+        """Loads the open jobs from the store; retries until the store answers."""
         after_key, has_more = "", True
         while has_more:
             try:
@@ -269,6 +270,7 @@
         )
 
     def _load_job(self, key: str, value: bytes) -> None:
+        """Adds a stored open job to the job table; skips one that cannot be decoded."""
         try:
             stored = decode_job(value)
         except StoredValueError as error:
@@ -289,7 +291,8 @@
         Returns for a durable job as soon as it is stored, for a best-effort job once it has ended.
 
         :param entry: incarnation of the entry daemon.
-        :raises NotHolderError: if this daemon is not the holder, or has not loaded the open jobs.
+        :raises NotHolderError: if this daemon is not the holder, has not loaded the open jobs, or
+            its tenure ended before a best-effort job began.
         :raises TenureLostError: if the tenure ended before a best-effort job did.
         :raises JobAbandonedError: if a best-effort job has begun and cannot end in time.
         :raises JobInterruptedError: if a best-effort job was dropped meanwhile.
@@ -297,7 +300,7 @@
         """
         spec = message.job
         if self.tenure.is_over:
-            raise NotHolderError("not the holder")
+            raise NotHolderError("this daemon is not the holder")
         if not spec.is_durable:
             return await self._best_effort_jobs.run_best_effort(message, entry)
         if not self.tenure.claim_revision:
@@ -324,6 +327,7 @@
     async def _complete_submission(
         self, shared_reply: SharedReply, spec: JobSpec, entry: str
     ) -> None:
+        """Accepts or refuses a durable job, and answers all submissions of it."""
         try:
             shared_reply.reply = await self._accept(spec, entry)
         except (StoreError, TenureLostError) as error:
@@ -335,6 +339,7 @@
             shared_reply.answered.set()
 
     async def _accept(self, spec: JobSpec, entry: str) -> JobSubmissionReply:
+        """Stores a durable job and adds it to the job table, or refuses it."""
         now_s = self._clock.now_s()
         may_be_stored = spec.job_id in self._possibly_stored
         admission = self._admit(spec, inf, may_be_stored)
@@ -406,7 +411,9 @@
         while job_id in self._pending_submissions:
             await self._pending_submissions[job_id].answered.wait()
         if self.tenure.is_over or not self.is_loaded:
-            raise NotHolderError("not the holder, or the open jobs are not loaded yet")
+            raise NotHolderError(
+                "this daemon is not the holder, or has not loaded the open jobs yet"
+            )
         state = self.job_table.state(job_id)
         if state is not None:
             return state.value
@@ -452,6 +459,7 @@
         return max(ends, default=0.0)
 
     async def _place_tasks(self) -> None:
+        """Places waiting tasks after each change in the group, until cancelled."""
         while True:
             await self.group.changed.wait()
             self.group.changed = Event()
@@ -536,8 +544,8 @@
     async def _recheck_claim(self) -> None:
         """Reads the claim while no write confirms it.
 
-        If the claim stays unconfirmed for too long, the durable jobs are suspended and the tenure
-        ends, as another daemon may have replaced the claim.
+        If the claim stays unconfirmed for too long, another daemon may have replaced it: open
+        durable jobs are suspended and the tenure ends. A tenure without such jobs goes on.
         """
         while True:
             await sleep(CLAIM_CHECK_INTERVAL_S / 2)
@@ -556,7 +564,7 @@
                 logger.debug("the claim cannot be checked: {}", error.message)
                 continue
             if entry is None or entry.revision != self.tenure.claim_revision:
-                self.tenure.end("another daemon has the claim")
+                self.tenure.end("another daemon holds the claim")
                 return
             self.tenure.confirm(sent_s)
 
@@ -568,12 +576,15 @@
             try:
                 await self._ledger.apply(Change(written=written))
             except TenureLostError:
-                self.tenure.end("another daemon has the claim")
+                self.tenure.end("another daemon holds the claim")
             except StoreError as error:
                 logger.debug("learned run times not stored: {}", error.message)
 
     def _suspend_durable_jobs(self, age_s: float) -> None:
-        """Stops the durable jobs and ends the tenure, as another holder may be running the jobs."""
+        """Stops the open durable jobs and ends the tenure; has no effect without such jobs.
+
+        Another holder may be running the jobs.
+        """
         durable_jobs = [
             job for job in self.job_table.jobs.values() if job.spec.is_durable and not job.is_final
         ]
--- a/berylproxy/durable/job_log.py
+++ b/berylproxy/durable/job_log.py
@@ -20,7 +20,10 @@
     job_table: JobTable
 
     def note_refused(self, spec: JobSpec, retry_after_s: float) -> None:
-        """Records that a job is refused, as the endpoints cannot complete it in time."""
+        """Records that a job is refused under load, usually as it could not end in time.
+
+        Refusals for too many open jobs or for a claim that is unconfirmed are counted alike.
+        """
         self.tenure.telemetry.count("jobs_refused", queue=spec.terms.queue, reason="late")
         logger.info(
             "job refused: it cannot end in time under the present load",
--- a/berylproxy/durable/leases.py
+++ b/berylproxy/durable/leases.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-CLOCK_DRIFT = 0.02  # the platform's contract bounds how much an endpoint's clock runs slow
+CLOCK_DRIFT = 0.02  # share by which an endpoint's clock may run slow, by the platform's contract
 LAPSE_MARGIN_S = 0.06  # the longest time to stop a run, and the delay of a timer
 
 
@@ -45,5 +45,5 @@
 
     def lapsed_at_s(self) -> float:
         """Returns the monotonic time at which all leases sent so far have certainly lapsed."""
-        left_s = max(self.granted_until_ms - self.read_ms, 0) / 1000
-        return self.received_s + left_s / (1 - CLOCK_DRIFT) + LAPSE_MARGIN_S
+        remaining_s = max(self.granted_until_ms - self.read_ms, 0) / 1000
+        return self.received_s + remaining_s / (1 - CLOCK_DRIFT) + LAPSE_MARGIN_S
--- a/berylproxy/durable/ledger.py
+++ b/berylproxy/durable/ledger.py
@@ -255,7 +255,7 @@
             raise StoreOutcomeUnknownError("no copy of the transaction was answered")
 
     async def _run(self) -> None:
-        was_possible, self._may_be_applied = self._may_be_applied, True  # also if cancelled
+        was_possible, self._may_be_applied = self._may_be_applied, True  # stays so if cancelled
         try:
             await self._call()
             self.answered.set()
--- a/berylproxy/durable/placement.py
+++ b/berylproxy/durable/placement.py
@@ -18,8 +18,8 @@
 # An answer is late up to this multiple of the job's objective, and worthless after it.
 LATE_FACTOR = 3.0
 DEFAULT_REMOTE_FACTOR = 2.0  # the larger one of the known installations
-# Cost of an endpoint that the task would leave wholly unused; a third of a short task's run time.
-# It favours placements that leave no remainder too small for another task.
+# Cost of the processor share that stays unused beside the task; for a whole endpoint a third of a
+# short task's run time. It favours placements that leave no remainder too small for another task.
 FIT_WEIGHT_S = 0.02
 # A task's expected run time is added this many times on an endpoint where the task failed before.
 FAILED_HERE_FACTOR = 10.0
--- a/berylproxy/durable/records.py
+++ b/berylproxy/durable/records.py
@@ -93,24 +93,24 @@
 
 
 def model_key(group: str) -> str:
-    """Returns the key of the run times that a group's holders have learnt."""
+    """Returns the key of the run times that a group's holders have learned."""
     return MODEL_PREFIX + group
 
 
 def encode_model(model: RunTimeModel) -> bytes:
-    """Encodes the learnt run times of a model."""
+    """Encodes the learned run times of a model."""
     return packb({"schema_version": SCHEMA_VERSION, **model.describe()})
 
 
 def adopt_model(model: RunTimeModel, value: bytes) -> None:
-    """Decodes learnt run times; they replace those of a model that rests on fewer tasks.
+    """Decodes learned run times; they replace those of a model that rests on fewer tasks.
 
     :raises StoredValueError: if the value is not an encoded model.
     """
     try:
         model.adopt(unpackb(value))
     except (ValueError, TypeError) as error:
-        raise StoredValueError(f"not learnt run times: {error}") from error
+        raise StoredValueError(f"not learned run times: {error}") from error
 
 
 def encode_final(state: JobState, ended_unix_s: float) -> bytes:
--- a/tests/durable/decisions.feature
+++ b/tests/durable/decisions.feature
@@ -50,7 +50,7 @@
 
   Scenario: what a holder has learnt is stored, and its successor begins with it
     Given 40 tasks of queue "q" with an estimate of 0.1 s took 0.2 s at "fast" and 0.4 s at "slow"
-    When the learnt run times are stored and read by a new daemon
+    When the learned run times are stored and read by a new daemon
     Then "fast" is about twice as fast as "slow"
     And a task of queue "q" with an estimate of 0.1 s is expected to take longer than 0.12 s
     And a daemon with more finished tasks keeps its own, and damaged ones are refused
--- a/tests/durable/holder.feature
+++ b/tests/durable/holder.feature
@@ -22,7 +22,7 @@
     And job "a" of 1 task is submitted
     Then job "a" ends as "failed"
     And 0 runs of job "a" were started
-    And no endpoint is closed
+    And no endpoint is quarantined
 
   Scenario: an order takes effect and its answer is lost
     Given a group of 1 endpoint whose runs take 0.3 s
--- a/tests/durable/member.feature
+++ b/tests/durable/member.feature
@@ -4,10 +4,10 @@
     Given a standby daemon of a service with 170 endpoints whose 4 groups are held by other daemons
     When it has refreshed its standby data for 0.3 s
     Then it has made 2 stale reads of pages and no reads of single keys since it began to track the service
-    And it expects a run time of 2.5 s in each group, as learnt by the holders
+    And it expects a run time of 2.5 s in each group, as learned by the holders
 
-  Scenario: a corrupt stored value affects only its own group
+  Scenario: a damaged stored value affects only its own group
     Given a standby daemon of a service with 170 endpoints whose 4 groups are held by other daemons
-    And the stored run times of the first group are corrupt
+    And the stored run times of the first group are damaged
     When it has refreshed its standby data for 0.3 s
-    Then it expects a run time of 2.5 s in each group but the first, as learnt by the holders
+    Then it expects a run time of 2.5 s in each group but the first, as learned by the holders
--- a/tests/steps/durable_decisions_steps.py
+++ b/tests/steps/durable_decisions_steps.py
@@ -280,7 +280,7 @@
     assert context.model.expected_run_time_s("q", 0.1) > 0.12
 
 
-@when(r"the learnt run times are stored and read by a new daemon")
+@when(r"the learned run times are stored and read by a new daemon")
 def step_impl(context):
     context.stored_model = encode_model(context.model)
     context.model = RunTimeModel()
@@ -454,9 +454,9 @@
 
 @when(r"a job of (?P<tasks>\d+) tasks of 20 cores and 0.2 s and an objective of 0.4 s is submitted")
 def step_impl(context, tasks):
-    draft = open_job(JobTable(), "new", tasks=int(tasks))
+    tentative_job = open_job(JobTable(), "new", tasks=int(tasks))
     context.retry_after_s = decide_admission(
-        draft, context.job_table.jobs.values(), context.states, context.model, 100.0
+        tentative_job, context.job_table.jobs.values(), context.states, context.model, 100.0
     )
 
 
--- a/tests/steps/durable_holder_steps.py
+++ b/tests/steps/durable_holder_steps.py
@@ -144,12 +144,12 @@
         endpoint.rejected_jobs.add(name)
 
 
-@then(r"no endpoint is closed")
+@then(r"no endpoint is quarantined")
 def step_impl(context):
     world = context.holder_world
     endpoints = world.holders[world.newest_fence].group.endpoints.values()
-    closed = [endpoint for endpoint in endpoints if endpoint.quarantined_until_s > monotonic()]
-    assert not closed, closed
+    quarantined = [endpoint for endpoint in endpoints if endpoint.quarantined_until_s > monotonic()]
+    assert not quarantined, quarantined
 
 
 @given(r"the answers of the next (?P<count>\d+) starts are lost")
@@ -286,8 +286,8 @@
 
 @then(r"the store holds the outcomes of jobs that ended (?P<ages>[\d, and]+) s ago")
 def step_impl(context, ages):
-    left = {key for key in context.holder_world.store.entries if key.startswith(FINAL_PREFIX)}
-    assert left == {final_key(age) for age in ages.split(" and ")}, left
+    remaining = {key for key in context.holder_world.store.entries if key.startswith(FINAL_PREFIX)}
+    assert remaining == {final_key(age) for age in ages.split(" and ")}, remaining
 
 
 @then(r"the holder with fence (?P<fence>\d+) is still running")
--- a/tests/steps/durable_member_steps.py
+++ b/tests/steps/durable_member_steps.py
@@ -17,8 +17,8 @@
 
 SERVICE, QUEUE = "ledger", "q"
 GROUPS = 4
-LEARNT_RUN_TIME_S = 2.5
-LEARNT_TASKS = 50
+LEARNED_RUN_TIME_S = 2.5
+LEARNED_TASKS = 50
 
 use_step_matcher("re")
 
@@ -47,8 +47,8 @@
     context.store = FakeJobStore()
     write(context.store, division_key(SERVICE), encode_division(GROUPS))
     model = RunTimeModel()
-    for _ in range(LEARNT_TASKS):
-        model.learn(QUEUE, 0.0, "e1", LEARNT_RUN_TIME_S)
+    for _ in range(LEARNED_TASKS):
+        model.learn(QUEUE, 0.0, "e1", LEARNED_RUN_TIME_S)
     for group in list_groups(SERVICE, GROUPS):
         write(context.store, model_key(group), encode_model(model))
     context.coordinator = GroupCoordinator(
@@ -64,7 +64,7 @@
     )
 
 
-@given(r"the stored run times of the first group are corrupt")
+@given(r"the stored run times of the first group are damaged")
 def step_impl(context):
     write(context.store, model_key(list_groups(SERVICE, GROUPS)[0]), b"\xc1")
 
@@ -91,7 +91,7 @@
 
 @then(
     r"it expects a run time of (?P<expected_s>[\d.]+) s in each group(?P<rest> but the first)?, as "
-    r"learnt by the holders"
+    r"learned by the holders"
 )
 def step_impl(context, expected_s, rest):
     groups = list_groups(SERVICE, GROUPS)[1 if rest else 0 :]
--- a/tests/support/load_play.py
+++ b/tests/support/load_play.py
@@ -157,10 +157,10 @@
         )
         spec = JobSpec(f"j{next(self._numbers)}", terms, "", (step,), is_kept=False)
         self.tallies[kind.queue].offered_worth += worth
-        draft = self._open_job(JobTable(), spec)
+        tentative_job = self._open_job(JobTable(), spec)
         if (
             decide_admission(
-                draft, self.job_table.jobs.values(), self.endpoints, self.model, self.now_s
+                tentative_job, self.job_table.jobs.values(), self.endpoints, self.model, self.now_s
             )
             is not None
         ):
