--- a/berylproxy/collect/job.py
+++ b/berylproxy/collect/job.py
@@ -11,7 +11,7 @@
 ANSWER_TOO_LARGE_CODE = "answer_too_large"
 JOB_OVERHEAD_BYTES = 1_500
 RESULT_OVERHEAD_BYTES = 200
-NEW_ID_HINT = "this id has been used; submit again under a new one"
+NEW_ID_HINT = "this id has been used; submit again with a new one"
 
 
 @dataclass(frozen=True, slots=True)
--- a/berylproxy/deduplicate/claims.py
+++ b/berylproxy/deduplicate/claims.py
@@ -125,9 +125,9 @@
 
     async def _resolve(self, pending: PendingClaim) -> Claim | None:
         bucket = self._buckets[choose_bucket(pending.key_hash)]
-        known = self._find(bucket, pending.key_hash)
-        if known is not None:
-            return known
+        existing = self._find(bucket, pending.key_hash)
+        if existing is not None:
+            return existing
         bucket.pending.append(pending)
         try:
             async with bucket.lock:
--- a/berylproxy/deduplicate/errors.py
+++ b/berylproxy/deduplicate/errors.py
@@ -5,7 +5,7 @@
 
 
 class DeduplicateError(BerylproxyError):
-    """Base of this layer's errors.
+    """Base class of the errors of this package.
 
     :cvar outcome: outcome of the job that is reported to the caller.
     """
@@ -27,7 +27,7 @@
 
 
 class IdentifierExpiredError(DeduplicateError):
-    """The identifier is too old: its submission may have run, and its record been dropped."""
+    """The identifier is too old: its submission may have run and been removed from memory."""
 
     code = "id_expired"
     outcome = Outcome.UNKNOWN
--- a/berylproxy/deduplicate/registry.py
+++ b/berylproxy/deduplicate/registry.py
@@ -61,7 +61,7 @@
         self._clock = clock
         self._retention_s = retention_s
         self._jobs: dict[str, RegisteredJob] = {}
-        self._max_kept_bytes = max_retained_bytes
+        self._max_retained_bytes = max_retained_bytes
         self._retained_bytes = 0
         self.finished_jobs: Counter[str] = Counter()
         self._evicted: OrderedDict[str, float] = OrderedDict()  # job id -> finished at
@@ -140,7 +140,7 @@
         oldest_usable_s = self._clock.now_s() - self._mint.valid_for_s
         while self._finished:
             job_id, finished_s = next(iter(self._finished.items()))
-            is_over_bound = self._retained_bytes > self._max_kept_bytes
+            is_over_bound = self._retained_bytes > self._max_retained_bytes
             if finished_s >= oldest_retained_s and not is_over_bound:
                 break
             del self._finished[job_id]
--- a/berylproxy/http_exchange.py
+++ b/berylproxy/http_exchange.py
@@ -105,7 +105,9 @@
         self._pending_response.set_result((parser.get_status_code(), bytes(self._body)))
 
     async def exchange(self, request: bytes, timeout_s: float) -> tuple[int, bytes]:
-        """Writes a request and waits for its response; closes the connection if none is complete.
+        """Writes a request and waits for its response.
+
+        The connection is closed unless a complete response arrives.
 
         :raises AnswerLostError: if no complete response was received in time.
         """
--- a/berylproxy/peers/control.py
+++ b/berylproxy/peers/control.py
@@ -69,7 +69,7 @@
         self._table = network.table
         self._logger = logger
         self._settings = settings
-        self._providers: dict[str, Callable[[], dict[str, Any]]] = {}
+        self._heartbeat_parts: dict[str, Callable[[], dict[str, Any]]] = {}
         self._state: dict[str, Any] = {}
         self._state_version = 1
         self._list_due_s = 0.0
@@ -82,7 +82,7 @@
 
     def add_heartbeat_part(self, name: str, make_part: Callable[[], dict[str, Any]]) -> None:
         """Adds a component's state to the heartbeats under its name."""
-        self._providers[name] = make_part
+        self._heartbeat_parts[name] = make_part
 
     def prioritize_members(self, list_incarnations: Callable[[], Iterable[str]]) -> None:
         """Sets the function that lists the incarnations to probe with priority.
@@ -164,7 +164,7 @@
 
     def _refresh_state(self) -> None:
         state = dict(self._state)
-        for name, make_part in self._providers.items():
+        for name, make_part in self._heartbeat_parts.items():
             try:
                 state[name] = _validate_state(make_part())
             except Exception:  # a component's error must not stop the heartbeats of the daemon
--- a/berylproxy/peers/prober.py
+++ b/berylproxy/peers/prober.py
@@ -32,7 +32,7 @@
         """Lists the open streams of a member, the dialled one first."""
 
     async def exchange_heartbeat(self, entry: MemberEntry, timeout_s: float) -> bool:
-        """Sends a heartbeat and applies the reply; returns whether one came."""
+        """Sends a heartbeat and applies the reply; returns whether one arrived."""
 
     async def request(self, incarnation: str, message: Any, timeout_s: float) -> Any:
         """Sends a request to a member."""
@@ -106,10 +106,10 @@
 
     def _list_silent_prioritized(self) -> list[MemberEntry]:
         limit_s = current_time() - PRIORITIZED_SILENCE_ROUNDS * self._settings.heartbeat_interval_s
-        found = (self._table.get(incarnation) for incarnation in self.list_prioritized())
+        prioritized = (self._table.get(incarnation) for incarnation in self.list_prioritized())
         return [
             entry
-            for entry in found
+            for entry in prioritized
             if entry is not None
             and all(
                 link.last_received_s < limit_s
@@ -118,6 +118,7 @@
         ]
 
     def _has_stalled(self, entry: MemberEntry) -> bool:
+        """Returns whether requests are pending on a stream on which nothing was received lately."""
         limit_s = current_time() - self._settings.heartbeat_timeout_s
         links = self._transport.links(entry.identity.incarnation)
         return any(link.has_pending_requests and link.last_received_s < limit_s for link in links)
@@ -143,6 +144,11 @@
             self._running_checks.discard(entry.identity.incarnation)
 
     async def _check_in_two_stages(self, entry: MemberEntry) -> None:
+        """Probes a member directly, then also indirectly; marks it as suspect if both fail.
+
+        The result is ignored if this daemon was paused meanwhile. Streams on which nothing was
+        received since the start of the check are closed, unless they were opened since then.
+        """
         started_s = current_time()
         if await self._transport.exchange_heartbeat(entry, self._settings.heartbeat_timeout_s):
             return
@@ -165,6 +171,10 @@
         return self._resumed_s > started_s or elapsed_s > expected_s + PAUSE_LIMIT_S
 
     async def _reach_indirectly(self, entry: MemberEntry) -> bool:
+        """Probes a member through others and once more directly.
+
+        :returns: whether any of these probes reached the member.
+        """
         timeout_s = self._settings.indirect_timeout_s
         reached: list[bool] = []
 
--- a/berylproxy/peers/router.py
+++ b/berylproxy/peers/router.py
@@ -44,7 +44,7 @@
         self._notice_handlers[message_type] = handler
 
     def route_request(self, link: PeerLink, frame: RequestFrame) -> None:
-        """Starts the handler of a request, or refuses it while too many of the stream run."""
+        """Starts the handler of a request, or refuses it if too many are running on the stream."""
         if link.running_requests >= self._max_running_requests:
             error = PeerOverloadedError(
                 "too many requests of this stream are running", retry_after_s=OVERLOAD_RETRY_S
--- a/berylproxy/peers/table.py
+++ b/berylproxy/peers/table.py
@@ -8,7 +8,7 @@
 from berylproxy.peers.membership import Member, MemberStatus
 from berylproxy.peers.messages import Heartbeat, MemberUpdate
 
-RETRANSMIT_FACTOR = 2  # each update is sent on this many times log2(members) times
+RETRANSMIT_FACTOR = 2  # each update is sent RETRANSMIT_FACTOR * log2(members) times
 MAX_UPDATES_PER_MESSAGE = 8
 STATUS_RANK = {MemberStatus.ALIVE: 0, MemberStatus.SUSPECT: 1, MemberStatus.DEAD: 2}
 
@@ -178,7 +178,7 @@
         :returns: the removed members.
         """
         now_s = self._clock()
-        forgotten = []
+        removed = []
         for entry in self.entries():
             age_s = now_s - entry.member.status_changed_s
             if entry.member.status is MemberStatus.SUSPECT and age_s >= self._dead_after_s:
@@ -186,8 +186,8 @@
             elif entry.member.status is MemberStatus.DEAD and age_s >= self._forget_after_s:
                 self._entries.pop(entry.identity.incarnation)
                 self._sends_left.pop(entry.identity.incarnation, None)
-                forgotten.append(entry)
-        return forgotten
+                removed.append(entry)
+        return removed
 
     def extend_deadlines(self, pause_s: float) -> None:
         """Extends all deadlines by a time in which this daemon itself was paused."""
@@ -198,7 +198,7 @@
         """Picks the updates to include in a message, those sent least often first.
 
         For a receiver that is considered suspect or dead, the update on the receiver itself comes
-        first, so that it can refute this.
+        first, so that the receiver can refute it.
         """
         picked = []
         if receiver is not None and receiver.member.status is not MemberStatus.ALIVE:
--- a/berylproxy/pipeline.py
+++ b/berylproxy/pipeline.py
@@ -38,7 +38,7 @@
 class Pipeline:
     """The pipeline of tasks of one daemon, in its roles as a home and as a holder of slots.
 
-    :param notify: sends a message without reply to another daemon, by incarnation.
+    :param notify: sends a one-way message to another daemon, by incarnation.
     :param is_reachable: returns whether there is a stream to another daemon, by incarnation.
     """
 
--- a/berylproxy/place/assignment.py
+++ b/berylproxy/place/assignment.py
@@ -28,7 +28,7 @@
     """Chooses a group's holder among the live daemons by rendezvous hashing.
 
     Daemons in the group's own failure domain are preferred. When a daemon stops or returns, only
-    the groups that it holds move.
+    its own groups change their holder.
 
     :returns: the holder; ``None`` if ``daemons`` is empty.
     """
--- a/berylproxy/place/demands.py
+++ b/berylproxy/place/demands.py
@@ -30,9 +30,8 @@
 
     def __init__(self) -> None:
         self.by_key: dict[DemandKey, dict[str, HomeDemand]] = {}
-        self._unacknowledged_grants: dict[str, dict[int, UnacknowledgedGrant]] = (
-            {}
-        )  # by home and number
+        # By home and number of the grant.
+        self._unacknowledged_grants: dict[str, dict[int, UnacknowledgedGrant]] = {}
 
     def replace(
         self, home: str, entries: Iterable[DemandEntry], last_grant: int, now_s: float
--- a/berylproxy/place/holder.py
+++ b/berylproxy/place/holder.py
@@ -13,7 +13,7 @@
 
 SETTLE_TIMEOUT_S = 1.0  # a new holder waits this long for the reports of live homes
 SUMMARY_INTERVAL_S = 0.05
-STALL_TIMEOUT_S = 0.9  # shorter than the interval at which homes repeat their demand
+STALL_TIMEOUT_S = 0.9  # shorter than the interval at which homes repeat their waiting demand
 
 
 class HeldGroup:
@@ -32,9 +32,8 @@
         self.last_summary: HolderSummary | None = None
         self.last_summary_s = 0.0
         self.idle_homes: set[str] = set()  # have reported that no task waits here
-        self.stalled_homes: set[str] = (
-            set()
-        )  # with tasks waiting here, not sent any message recently
+        # Homes that report waiting tasks and to which no message has been sent recently.
+        self.stalled_homes: set[str] = set()
         self.last_message_s: dict[str, float] = {}  # time of the last message sent, by home
 
     def is_settled(self, now_s: float) -> bool:
@@ -63,49 +62,49 @@
     def update_members(self, live: Iterable[DaemonIdentity]) -> None:
         """Applies the list of live daemons that are not leaving, which may include this one."""
         self._live = {daemon.incarnation: daemon for daemon in live}
-        for held in self._groups.values():
-            held.unreported_homes &= self._live.keys()
+        for held_group in self._groups.values():
+            held_group.unreported_homes &= self._live.keys()
         self._update_held_groups()
 
     def forget_home(self, incarnation: str) -> None:
         """Drops the demand of a dead daemon; its slots stay in use while its tasks may run."""
         now_s = self._clock.now_s()
-        for held in self._groups.values():
-            held.ledger.forget_home(incarnation, now_s)
+        for held_group in self._groups.values():
+            held_group.ledger.forget_home(incarnation, now_s)
 
     def configure(self, configuration: Configuration) -> None:
         """Applies a new configuration."""
         self._configuration = configuration
         self._update_held_groups()
-        for group, held in self._groups.items():
-            self._configure_ledger(group, held.ledger)
+        for group, held_group in self._groups.items():
+            self._configure_ledger(group, held_group.ledger)
 
     def receive_demand(self, home: str, message: UpdateDemand) -> None:
         """Applies a home's counts of waiting tasks and its report of slots in use, if any."""
         group = SlotGroup(message.pool, message.failure_domain)
-        held = self._groups.get(group)
-        if held is None:
+        held_group = self._groups.get(group)
+        if held_group is None:
             return
         now_s = self._clock.now_s()
         if message.held is not None:
-            held.ledger.replace_held_slots(home, message.held, message.last_grant, now_s)
-            held.unreported_homes.discard(home)
+            held_group.ledger.replace_held_slots(home, message.held, message.last_grant, now_s)
+            held_group.unreported_homes.discard(home)
             if not message.entries:
-                held.idle_homes.add(home)
-        if message.entries and now_s - held.last_message_s.get(home, 0.0) >= STALL_TIMEOUT_S:
-            held.stalled_homes.add(home)
-        held.ledger.update_demand(home, message.entries, message.last_grant, now_s)
+                held_group.idle_homes.add(home)
+        if message.entries and now_s - held_group.last_message_s.get(home, 0.0) >= STALL_TIMEOUT_S:
+            held_group.stalled_homes.add(home)
+        held_group.ledger.update_demand(home, message.entries, message.last_grant, now_s)
         self._dirty.add(group)
 
     def receive_releases(self, message: ReleaseSlots) -> None:
         """Applies the end of the use of slots."""
         group = SlotGroup(message.pool, message.failure_domain)
-        held = self._groups.get(group)
-        if held is None:
+        held_group = self._groups.get(group)
+        if held_group is None:
             return
         now_s = self._clock.now_s()
         for release in message.releases:
-            held.ledger.release(release, now_s)
+            held_group.ledger.release(release, now_s)
         self._dirty.add(group)
 
     def mark_waiting_groups(self) -> None:
@@ -114,7 +113,7 @@
         Slots may become available by the passage of time alone, such as after an ejection.
         """
         self._dirty.update(
-            group for group, held in self._groups.items() if held.ledger.count_waiting()
+            group for group, held_group in self._groups.items() if held_group.ledger.count_waiting()
         )
 
     def flush(self) -> None:
@@ -122,20 +121,20 @@
         now_s = self._clock.now_s()
         dirty, self._dirty = self._dirty, set()
         for group in dirty:
-            held = self._groups.get(group)
-            if held is None:
+            held_group = self._groups.get(group)
+            if held_group is None:
                 continue
-            if not held.is_settled(now_s):
+            if not held_group.is_settled(now_s):
                 self._dirty.add(group)
                 continue
-            grants = held.ledger.grant_slots(now_s)
-            summary = held.ledger.summarize(now_s)
+            grants = held_group.ledger.grant_slots(now_s)
+            summary = held_group.ledger.summarize(now_s)
             self._send_grants(group, grants, summary)
-            self._send_summary(group, held, summary, now_s)
+            self._send_summary(group, held_group, summary, now_s)
 
     def list_ledgers(self) -> list[SlotLedger]:
         """Returns the ledgers of the groups that this daemon holds."""
-        return [held.ledger for held in self._groups.values()]
+        return [held_group.ledger for held_group in self._groups.values()]
 
     def _update_held_groups(self) -> None:
         assigned = {
@@ -188,27 +187,27 @@
             self._send(home, message)
 
     def _send_summary(
-        self, group: SlotGroup, held: HeldGroup, summary: HolderSummary, now_s: float
+        self, group: SlotGroup, held_group: HeldGroup, summary: HolderSummary, now_s: float
     ) -> None:
         own_incarnation = self._identity.incarnation
         self._send(own_incarnation, summary)
-        idle_homes, held.idle_homes = held.idle_homes, set()
-        stalled_homes, held.stalled_homes = held.stalled_homes, set()
-        last = held.last_summary
+        idle_homes, held_group.idle_homes = held_group.idle_homes, set()
+        stalled_homes, held_group.stalled_homes = held_group.stalled_homes, set()
+        last = held_group.last_summary
         changed = last is None or _is_relevant_change(last, summary)
-        if changed and now_s - held.last_summary_s >= SUMMARY_INTERVAL_S:
-            held.last_summary = summary
-            held.last_summary_s = now_s
+        if changed and now_s - held_group.last_summary_s >= SUMMARY_INTERVAL_S:
+            held_group.last_summary = summary
+            held_group.last_summary_s = now_s
             idle_homes = set(self._live)
         elif changed:
             self._dirty.add(group)  # sent by the first flush after the summary interval
         elif not summary.free:
             idle_homes = set()
         # An earlier summary may have been lost with its stream. A home whose summary says that the
-        # group is full leaves its tasks waiting elsewhere; a home whose summary says that slots
-        # are free leaves its tasks waiting here.
+        # group is full would let its tasks wait elsewhere; a home whose summary says that slots
+        # are free would let its tasks wait here in vain.
         for incarnation in (idle_homes | stalled_homes) - {own_incarnation}:
-            held.last_message_s[incarnation] = now_s
+            held_group.last_message_s[incarnation] = now_s
             self._send(incarnation, summary)
 
 
--- a/berylproxy/place/requester.py
+++ b/berylproxy/place/requester.py
@@ -69,7 +69,7 @@
         self._is_reachable = is_reachable
         self._spread = DemandSpread(identity.failure_domain)
         self._holder_states: dict[SlotGroup, HolderState] = {}
-        self._held: dict[tuple[str, int], tuple[SlotGroup, HeldSlot]] = {}
+        self._held_slots: dict[tuple[str, int], tuple[SlotGroup, HeldSlot]] = {}
         self._configuration = Configuration()
         self._live: list[DaemonIdentity] = [identity]
         self._reachable: frozenset[str] = frozenset()
@@ -122,7 +122,7 @@
             state.last_grant = grant.sequence
             self._note_grant(group, state, key)
             slot = HeldSlot(holder, grant.sequence, grant.endpoint, grant.service, grant.team)
-            self._held[holder, grant.sequence] = (group, slot)
+            self._held_slots[holder, grant.sequence] = (group, slot)
             run = self._queue.pop(key)
             if run is None:
                 self.unused_grants += 1
@@ -134,7 +134,7 @@
 
     def release(self, slot: HeldSlot, result: SlotResult, run_time_s: float = 0.0) -> None:
         """Queues the release of a slot for its holder, with the result of its use."""
-        group, _ = self._held.pop((slot.issuer, slot.sequence))
+        group, _ = self._held_slots.pop((slot.issuer, slot.sequence))
         state = self._holder_states.get(group)
         if state is not None:
             state.releases.append(
@@ -228,7 +228,7 @@
         state.report_due_s = now_s + (
             FIRST_REPORT_INTERVAL_S if is_early_report else REPORT_INTERVAL_S
         )
-        return tuple(slot for held_group, slot in self._held.values() if held_group == group)
+        return tuple(slot for held_group, slot in self._held_slots.values() if held_group == group)
 
     def _make_entry(self, key: DemandKey, count: int, now_s: float) -> DemandEntry:
         age_s = now_s - self._queue.oldest_accepted_s(key)
--- a/berylproxy/place/schedule.py
+++ b/berylproxy/place/schedule.py
@@ -49,7 +49,8 @@
         shares: Mapping[str, TeamShare],
     ) -> None:
         self._shares = shares
-        self._queues: dict[str, list[list]] = {}  # team -> heap of [since_s, order, key, home, n]
+        # team -> heap of [oldest_accepted_s, order, key, home, waiting]
+        self._queues: dict[str, list[list]] = {}
         order = 0
         for key, homes in demands.items():
             for home, demand in homes.items():
--- a/berylproxy/place/speed.py
+++ b/berylproxy/place/speed.py
@@ -23,7 +23,7 @@
     """Expected run times by endpoint and service.
 
     An endpoint that has not run a service yet is assumed to be as fast as the fastest known one,
-    so that it is sent tasks.
+    so that it is tried.
     """
 
     def __init__(self) -> None:
@@ -34,7 +34,7 @@
         """Adds the run time of a finished task."""
         self._means.setdefault((endpoint, service), RunTimeMean()).add(run_time_s)
         self._fastest_s[service] = min(
-            mean.mean_s for (_, known), mean in self._means.items() if known == service
+            mean.mean_s for (_, name), mean in self._means.items() if name == service
         )
 
     def expected_run_time_s(self, endpoint: str, service: str, declared_s: float) -> float:
--- a/berylproxy/place/spread.py
+++ b/berylproxy/place/spread.py
@@ -81,22 +81,22 @@
 
         Returns 0 while the summary of any of the service's groups is missing.
         """
-        ahead = new_tasks
+        tasks_ahead = new_tasks
         turnover_per_s = 0.0
         for group in self._groups_of_service.get(service, ()):
             summary = self._summaries.get(group)
             if summary is None:
                 return 0.0
-            ahead += max(summary.waiting, self._count_all_allotted(group)) - summary.free
+            tasks_ahead += max(summary.waiting, self._count_all_allotted(group)) - summary.free
             turnover_per_s += summary.turnover_per_s
-        return max(0, ahead) / turnover_per_s if turnover_per_s else 0.0
+        return max(0, tasks_ahead) / turnover_per_s if turnover_per_s else 0.0
 
     def estimate_run_time_s(self, service: str) -> float:
         """Estimates the mean run time of a service's tasks; 0 without any summary."""
         groups = self._groups_of_service.get(service, ())
-        known = [self._summaries[group] for group in groups if group in self._summaries]
-        turnover_per_s = sum(summary.turnover_per_s for summary in known)
-        slots = sum(summary.slots for summary in known)
+        summaries = [self._summaries[group] for group in groups if group in self._summaries]
+        turnover_per_s = sum(summary.turnover_per_s for summary in summaries)
+        slots = sum(summary.slots for summary in summaries)
         return slots / turnover_per_s if turnover_per_s else 0.0
 
     def note_grant(self, group: SlotGroup, key: DemandKey) -> None:
--- a/berylproxy/platform/callers.py
+++ b/berylproxy/platform/callers.py
@@ -19,14 +19,13 @@
 from berylproxy.durable.telemetry import Telemetry
 from berylproxy.errors import BerylproxyError
 from berylproxy.platform.configuration import JobRoute, PlatformConfiguration
-from berylproxy.platform.endpoints import decode_needs
+from berylproxy.platform.endpoints import decode_resources
 from berylproxy.platform.settings import METRICS_PORT
 
 READY_PATH = "/-/ready"
 METRICS_PATH = "/metrics"
-STATUS_PATH = (
-    "/v1/status"  # same path as on the product's own daemons, so that berylctl can query both
-)
+# The same path as on the product's own daemons, so that berylctl can query both.
+STATUS_PATH = "/v1/status"
 # Despite its name, the header holds a duration in milliseconds and not a point in time.
 WAIT_TIME_HEADER = b"berylproxy-deadline-ms"
 MAX_WAIT_S = 30.0
@@ -66,7 +65,7 @@
 
 
 class CallerApplication:
-    """Serves the platform's HTTP API.
+    """Serves the platform's HTTP API, the readiness probe and the operators' pages.
 
     :param configuration: returns the current configuration; its version is 0 until one is loaded.
     :param is_ready: returns whether the daemon accepts new connections.
@@ -180,7 +179,7 @@
             await self._send_response(send, 404, {"error": "no such queue"})
             return
         job_id = path[len(route.prefix) :]
-        logger.debug("headers {}", headers)
+        logger.debug("request headers: {}", headers)
         wait_s = _parse_wait_s(headers, route) - RESPONSE_MARGIN_S
         method = scope["method"]
         if method == "GET" and not job_id:
@@ -316,14 +315,14 @@
     estimate_ms = row.get("estimate-ms", 0)
     if type(estimate_ms) not in (int, float) or estimate_ms < 0:
         raise RequestInvalidError(f"steps.{number}.estimate-ms must be a number of 0 or more")
-    most = row.get("max-per-server", 0)
-    if type(most) is not int or most < 0:
+    max_per_server = row.get("max-per-server", 0)
+    if type(max_per_server) is not int or max_per_server < 0:
         raise RequestInvalidError(f"steps.{number}.max-per-server must be 0 or more")
     for name in ("requires", "affinity"):
         if not isinstance(row.get(name, ""), str):
             raise RequestInvalidError(f"steps.{number}.{name} must be text")
     try:
-        needs = decode_needs(row)
+        needs = decode_resources(row)
     except ValueError as error:
         raise RequestInvalidError(f"steps.{number}: {error}") from error
     return StepSpec(
@@ -335,7 +334,7 @@
         preferred_rack=row.get("affinity", ""),
         stays_in_rack=bool(row.get("rack-local")),
         # The platform's "max-per-server" limits the tasks of this step on one runner (endpoint).
-        max_per_endpoint=most,
+        max_per_endpoint=max_per_server,
         saves_progress=bool(row.get("checkpoint")),
     )
 
--- a/berylproxy/platform/configuration.py
+++ b/berylproxy/platform/configuration.py
@@ -93,20 +93,20 @@
     :raises ConfigurationInvalidError: if it can't be decoded.
     """
     try:
-        file = _Configuration.model_validate_json(value)
+        parsed = _Configuration.model_validate_json(value)
     except ValidationError as error:
         first = error.errors(include_url=False)[0]
-        place = ".".join(map(str, first["loc"]))
-        raise ConfigurationInvalidError(f"{place}: {first['msg']}") from error
-    routes = tuple(_convert_route(route) for route in file.routes)
+        location = ".".join(map(str, first["loc"]))
+        raise ConfigurationInvalidError(f"{location}: {first['msg']}") from error
+    routes = tuple(_convert_route(route) for route in parsed.routes)
     by_host: dict[str, list[JobRoute]] = {}
     for route in sorted(routes, key=lambda route: -len(route.prefix)):
         by_host.setdefault(route.host.lower(), []).append(route)
     services = dict.fromkeys(
-        [*(service.name for service in file.services), *(route.terms.service for route in routes)]
+        [*(service.name for service in parsed.services), *(route.terms.service for route in routes)]
     )
     return PlatformConfiguration(
-        file.version, routes, tuple(services), file.limits.max_body_bytes, by_host
+        parsed.version, routes, tuple(services), parsed.limits.max_body_bytes, by_host
     )
 
 
--- a/berylproxy/platform/daemon.py
+++ b/berylproxy/platform/daemon.py
@@ -49,7 +49,8 @@
 CONFIGURATION_WATCH_S = 0.9
 RETRY_DELAY_S = 0.1
 INCARNATION_BYTES = 6
-MAX_STORE_SILENCE_S = 3.0  # after longer without store and holder the daemon is not ready
+# Without the store and a holder for longer, the daemon is not ready: new callers go to others.
+MAX_STORE_SILENCE_S = 3.0
 BALANCER_DETECTION_S = 2.5  # the load balancer probes once a second; two failures remove a daemon
 DRAIN_SHARE = 0.85  # of the grace time; jobs unfinished after it are answered as unknown
 LAST_RESPONSES_TIMEOUT_S = 0.4  # for writing the last responses
@@ -290,7 +291,7 @@
         page = await self._store.read_page(
             MEMBER_PREFIX, may_be_stale=len(self._member_domains) > 1
         )
-        listed = {}
+        member_domains = {}
         for entry in page.entries:
             try:
                 member = orjson.loads(entry.value)
@@ -298,10 +299,10 @@
             except (ValueError, TypeError, KeyError) as error:
                 logger.warning("member {} can't be read: {!r}", entry.key, error)
                 continue
-            listed[entry.key.removeprefix(MEMBER_PREFIX)] = domain
+            member_domains[entry.key.removeprefix(MEMBER_PREFIX)] = domain
             if address != self._identity.peer_address:
                 self._network.add_address(address)
-        self._member_domains = listed
+        self._member_domains = member_domains
 
     async def _handle_signals(self) -> None:
         """Starts the planned stop on SIGTERM or SIGINT and reloads the settings on SIGHUP.
--- a/berylproxy/platform/endpoints.py
+++ b/berylproxy/platform/endpoints.py
@@ -59,7 +59,7 @@
         self._logged_keys: set[str] = set()
 
     async def fetch(self) -> tuple[EndpointInfo, ...]:
-        """Reads the list; entries that can't be decoded are skipped and logged once."""
+        """Reads the list of runners; entries that can't be decoded are skipped and logged once."""
         endpoints, after_key, has_more = [], "", True
         while has_more:
             page = await self._store.read_page(LIST_PREFIX, after_key)
@@ -174,7 +174,7 @@
         state, service = content["state"], content["service"]
         address, zone = content["address"], content["zone"]
         labels = content.get("labels", [])
-        capacity = decode_needs(content["capacity"])
+        capacity = decode_resources(content["capacity"])
         host, _, port = address.rpartition(":")
         is_valid = (
             state in STATES
@@ -202,7 +202,7 @@
     )
 
 
-def decode_needs(content: dict[str, Any]) -> Resources:
+def decode_resources(content: dict[str, Any]) -> Resources:
     """Decodes resource amounts; a missing one is 0.
 
     :raises ValueError: if an amount is not a non-negative integer.
--- a/berylproxy/platform/settings.py
+++ b/berylproxy/platform/settings.py
@@ -8,7 +8,8 @@
 
 from berylproxy.settings import SettingsError
 
-METRICS_PORT = 9464  # default of OpenTelemetry exporters; also configured in deploy/
+# OpenTelemetry exporters serve on this port by default; deploy/ configures it as well.
+METRICS_PORT = 9464
 SETTINGS_VARIABLE = "BERYLPROXY_NODE_FILE"
 
 
@@ -82,7 +83,7 @@
 
 
 def load_platform_settings(path: str) -> PlatformSettings:
-    """Reads and checks the file.
+    """Reads and validates the settings file.
 
     :raises SettingsError: listing every problem and its location in the file.
     """
--- a/berylproxy/platform/store.py
+++ b/berylproxy/platform/store.py
@@ -21,7 +21,8 @@
 
 CALL_TIMEOUT_S = 1.0  # a slow store responds in about 0.3 s
 READ_TIMEOUT_S = 0.7  # a dead connection is detected early, and a new one is tried
-MAX_CONTACT_AGE_S = 0.8  # since the last response, while only one call has failed
+# After a single failed call the store counts as reachable for this long from its last response.
+MAX_CONTACT_AGE_S = 0.8
 CONNECT_TIMEOUT_S = 0.3  # long enough for many round trips within a region
 WATCH_TIMEOUT_MARGIN_S = 0.4  # added to the wait before a watch is considered hung
 REFUSAL_STATUSES = (429, 503)  # the request had no effect
--- a/berylproxy/send/connections.py
+++ b/berylproxy/send/connections.py
@@ -45,8 +45,8 @@
         """Returns the most recently used idle connection that is still usable, or a new one."""
         while self._idle:
             idle = self._idle.pop()
-            expired = self._clock.now_s() - idle.idle_since_s > MAX_IDLE_S
-            if not expired and idle.connection.is_idle() and not idle.connection.has_expired():
+            is_expired = self._clock.now_s() - idle.idle_since_s > MAX_IDLE_S
+            if not is_expired and idle.connection.is_idle() and not idle.connection.has_expired():
                 return idle.connection
             await idle.connection.aclose()
         return AsyncHTTPConnection(self.origin, network_backend=self._backend)
--- a/berylproxy/send/sender.py
+++ b/berylproxy/send/sender.py
@@ -64,7 +64,7 @@
         :param timeout_s: time after which the task is abandoned.
         :raises SendError: for any other outcome; its attributes say what is known of the task.
         """
-        connections = self._find_connections(endpoint)
+        connections = self._get_or_create_connections(endpoint)
         with move_on_after(timeout_s) as scope:
             connection = await connections.acquire()
             try:
@@ -89,7 +89,7 @@
         for connections in list(self._connections.values()):
             await connections.close()
 
-    def _find_connections(self, endpoint: Endpoint) -> EndpointConnections:
+    def _get_or_create_connections(self, endpoint: Endpoint) -> EndpointConnections:
         connections = self._connections.get(endpoint.url)
         if connections is None:
 
--- a/berylproxy/send/streams.py
+++ b/berylproxy/send/streams.py
@@ -58,7 +58,10 @@
         await self._stream.aclose()
 
     def get_extra_info(self, info: str) -> Any:
-        """Returns whether the stream is readable; an idle connection is so once it has ended."""
+        """Returns whether the stream is readable for "is_readable", and ``None`` for other names.
+
+        An idle connection becomes readable when the endpoint closes it.
+        """
         if info == "is_readable":
             poller = poll()
             poller.register(self._stream.extra(SocketAttribute.raw_socket), POLLIN)
--- a/berylproxy/waiting/limits.py
+++ b/berylproxy/waiting/limits.py
@@ -17,7 +17,7 @@
 
 
 class AdmissionError(BerylproxyError):
-    """Base of the refusals of new jobs; no task of a refused job has run."""
+    """Base class of the refusals of new jobs; no task of a refused job has run."""
 
     code = "admission_error"
 
--- a/berylproxy/waiting/queue.py
+++ b/berylproxy/waiting/queue.py
@@ -36,15 +36,15 @@
         queue = self._queues.get(key)
         if queue is None:
             return None
-        found = None
-        while queue and found is None:
+        oldest_run = None
+        while queue and oldest_run is None:
             run = queue.popleft()
             if run in self._waiting:
                 self._subtract(run)
-                found = run
+                oldest_run = run
         if not queue:
             del self._queues[key]
-        return found
+        return oldest_run
 
     def discard(self, runs: list[TaskRun]) -> None:
         """Removes tasks that need not run any more; ignores those that do not wait."""
--- a/tests/steps/peers_membership_steps.py
+++ b/tests/steps/peers_membership_steps.py
@@ -140,7 +140,7 @@
 
 
 @then('"{name}" considers "{other}" {status:w}')
-def step_holds_for(context, name, other, status):
+def step_considers(context, name, other, status):
     node, incarnation = context.peers[name], context.peers[other].incarnation
     wait(context, node, lambda: node.status_of(incarnation) == status)
     seen = [s for i, s in node.statuses if i == incarnation]
--- a/tests/steps/peers_table_steps.py
+++ b/tests/steps/peers_table_steps.py
@@ -51,12 +51,12 @@
 
 
 @then('its status in the table is "{status}"')
-def step_table_holds(context, status):
+def step_table_status(context, status):
     assert context.member_table.get(IDENTITY.incarnation).member.status == status
 
 
 @then("the table has removed it")
-def step_forgotten(context):
+def step_removed(context):
     assert context.member_table.get(IDENTITY.incarnation) is None
 
 
