--- a/tests/durable/decisions.feature
+++ b/tests/durable/decisions.feature
@@ -107,12 +107,12 @@
 
   Scenario Outline: jobs that no endpoint can run do not block later jobs
     Given endpoints "a" of speed 1 and "b" of speed 2 with 64 cores each
-    And 40 earlier jobs whose tasks need <what>
+    And 40 earlier jobs whose tasks need <need>
     When a task of 20 cores is placed
     Then it runs at "b"
 
     Examples:
-      | what               |
+      | need               |
       | 200 cores          |
       | a label of nobody  |
       | 300 GB of memory   |
--- a/tests/durable/load.feature
+++ b/tests/durable/load.feature
@@ -18,7 +18,7 @@
     Then 99 of 100 jobs end in time and none is refused
     And each kind of job earns 95 of 100 of its worth
 
-  Scenario Outline: nobody waits for an answer that can't be of use any more
+  Scenario Outline: no caller waits for an answer that would come too late
     When <load> is simulated with the decisions of the holder and with the baseline
     Then no job ends after three times its objective
     And at least as many jobs are served as with a policy that never abandons started jobs
--- a/tests/steps/durable_decisions_steps.py
+++ b/tests/steps/durable_decisions_steps.py
@@ -361,13 +361,13 @@
             endpoint.remove_run(name, run)
 
 
-@given(r"40 earlier jobs whose tasks need (?P<what>.+)")
-def step_impl(context, what):
+@given(r"40 earlier jobs whose tasks need (?P<need>.+)")
+def step_impl(context, need):
     fields = {
         "200 cores": {"cores": 200},
         "a label of nobody": {"required_label": "nobody"},
         "300 GB of memory": {"needs": Resources(1000, 300_000)},
-    }[what]
+    }[need]
     context.impossible = [fields] * 40
 
 
--- a/tests/support/load_play.py
+++ b/tests/support/load_play.py
@@ -221,8 +221,8 @@
 def summarize(simulations: list[dict[str, Tally]]) -> dict[str, float]:
     """Sums up simulations: shares of the worth earned, by queue and overall, and of outcomes."""
     offered_worth, earned_worth, outcomes = Counter(), Counter(), Counter()
-    for simulate in simulations:
-        for queue, tally in simulate.items():
+    for simulation in simulations:
+        for queue, tally in simulation.items():
             offered_worth[queue] += tally.offered_worth
             earned_worth[queue] += tally.earned_worth
             outcomes.update(tally.outcomes)
