--- a/standins/relay.py
+++ b/standins/relay.py
@@ -150,7 +150,7 @@
         return active + self.connecting >= self.max_connections
 
     async def relay_connection(self, client: SocketStream) -> None:
-        """Relays one connection until it is closed; closes it at once if the limit is reached."""
+        """Relays one connection until it is closed; rejects it if the limit is reached."""
         async with client:
             if self.is_full():
                 return
--- a/standins/runner.py
+++ b/standins/runner.py
@@ -20,7 +20,7 @@
 from standins.runner_model import RunnerModel
 from standins.serving import announce, open_listener, port_of, serve_app
 
-HEARTBEAT_S = 0.5
+HEARTBEAT_INTERVAL_S = 0.5
 MAX_LEASE_S = 1.0
 WRONG_INSTANCE_STATUS = 421
 REASONS = {
@@ -140,7 +140,7 @@
                 }
                 url = f"{self.store_url}/control/put"
                 await client.post(url, json={"key": f"servers/{self.name}", "value": entry})
-                await anyio.sleep(HEARTBEAT_S)
+                await anyio.sleep(HEARTBEAT_INTERVAL_S)
 
     def is_for_other_instance(self, request: Request) -> bool:
         """Returns whether the request is addressed to another instance of the runner."""
@@ -188,7 +188,7 @@
     parser.add_argument("--cores", type=int, default=64)
     parser.add_argument("--run-time-s", type=float, default=0.05)
     parser.add_argument("--advertise", default="", help="host:port for the list, if not its own")
-    parser.add_argument("--history-path", default="", help="file for what it starts and ends")
+    parser.add_argument("--history-path", default="", help="file for the starts and ends of runs")
     anyio.run(run, parser.parse_args())
 
 
--- a/tools/bench/baseline.py
+++ b/tools/bench/baseline.py
@@ -35,7 +35,7 @@
     def __init__(self, url: str, connections: int) -> None:
         self.http_client = HttpClient(url)
         self.connections = connections
-        self.busy = 0
+        self.active_requests = 0
 
 
 def make_chooser(policy: str, seed: int, endpoints: int) -> Callable[[], int]:
@@ -108,9 +108,9 @@
     async def _try_endpoint(
         self, endpoint: Endpoint, body: bytes, headers: dict[str, str]
     ) -> Answer | None:
-        if endpoint.busy >= endpoint.connections:
+        if endpoint.active_requests >= endpoint.connections:
             return None
-        endpoint.busy += 1
+        endpoint.active_requests += 1
         try:
             answer = await endpoint.http_client.send("POST", "/v1/tasks", body, headers)
         except (ConnectError, ReadError, RemoteProtocolError):
@@ -118,7 +118,7 @@
             self._counts["closed_connection"] += 1
             return None
         finally:
-            endpoint.busy -= 1
+            endpoint.active_requests -= 1
         if answer.headers.get("berylproxy-outcome") == "not_run":
             self._counts["refused_send"] += 1
             return None
--- a/tools/soak/judge.py
+++ b/tools/soak/judge.py
@@ -50,7 +50,7 @@
 
 
 def _find_overlapping_runs(runs: list[Run]) -> list[str]:
-    """Checks that no task ran twice at the same time."""
+    """Finds runs of a task that started before its previous run had ended."""
     return [
         f"task {overlap.task[1:]} run {overlap.next_run} started at {overlap.next_start_s:.3f} s, "
         f"run {overlap.first_run} of {overlap.first_start_s:.3f} s was still running"
@@ -59,7 +59,7 @@
 
 
 def _find_false_answers(job: SoakJob, runs: list[Run]) -> list[str]:
-    """Checks that the answers about a job agree with its runs."""
+    """Finds answers about a job that its runs contradict, and unexpected statuses and states."""
     problems = []
     done = {name for _, kind, name, _ in runs if kind == "done"}
     for call in job.calls:
@@ -79,7 +79,7 @@
 
 
 def _find_broken_calls(job: SoakJob, down_spans: list[Span], stop_spans: list[Span]) -> list[str]:
-    """Checks that a running daemon answers in time and closes no connection during a request."""
+    """Finds calls that a running daemon answered late, or not at all, or cut off."""
     problems = []
     for call in job.calls:
         was_down = any(
