--- a/Makefile
+++ b/Makefile
@@ -28,7 +28,7 @@
 prove: setup  ## Runs a random schedule of faults and checks all histories (SEED=n)
 	$(BIN)/python -m tools.prove --seed $(SEED)
 
-soak: setup  ## Plays random faults on the platform's daemons and judges what was seen (SEED=n SEEDS=n)
+soak: setup  ## Injects random faults into the platform's daemons and checks the history (SEED=n SEEDS=n)
 	$(BIN)/python -m tools.soak --seed $(SEED) --seeds $(SEEDS)
 
 bench: setup  ## Compares placement with simple policies and a bound (SCENARIO=s SEED=n)
