--- a/standins/runner.py
+++ b/standins/runner.py
@@ -191,7 +191,7 @@
     parser.add_argument("--cores", type=int, default=64)
     parser.add_argument("--run-time-s", type=float, default=0.05)
     parser.add_argument("--advertise", default="", help="host:port to publish, if not its own")
-    parser.add_argument("--history-path", default="", help="file for the starts and ends of tasks")
+    parser.add_argument("--history-path", default="", help="file for the starts and ends of runs")
     anyio.run(run, parser.parse_args())
 
 
