--- a/berylproxy/client/errors.py
+++ b/berylproxy/client/errors.py
@@ -69,7 +69,7 @@
 
 
 class RecordRefusedError(ClientError):
-    """The record is invalid or does not exist."""
+    """A record or its change was refused, for example as invalid, or the record does not exist."""
 
     code = "record_invalid"
 
--- a/berylproxy/client/submission.py
+++ b/berylproxy/client/submission.py
@@ -145,7 +145,7 @@
 
 
 def _is_proven_not_run(error: ClientError) -> bool:
-    """Returns whether the daemon has confirmed that the work has not run and never will.
+    """Returns whether the identifier's home has confirmed that its work did not and will not run.
 
     Only a refusal that names the identifier confirms this.
     """
--- a/berylproxy/daemon/application.py
+++ b/berylproxy/daemon/application.py
@@ -113,7 +113,7 @@
             self._pipeline.submit,
             self._pipeline.cancel,
         )
-        self._gate = OperatorAuthorizer(settings.operator_tokens)
+        self._operator_authorizer = OperatorAuthorizer(settings.operator_tokens)
         self._monitoring_api = MonitoringApi(
             lambda: self._network.identity,
             self._network,
@@ -121,7 +121,7 @@
             self._watcher,
             self._replicator,
             self._pipeline,
-            self._gate.authorize,
+            self._operator_authorizer.authorize,
         )
         self._leaving_host_watcher = LeavingHostWatcher(
             settings.vm_list_url, self._apply_configuration
@@ -206,9 +206,9 @@
         metrics.add_source(self._monitoring_api.collect_samples)
         routes = [
             *api.routes(),
-            *make_record_routes(self._view, editor, self._gate.authorize),
+            *make_record_routes(self._view, editor, self._operator_authorizer.authorize),
             *self._monitoring_api.routes(),
-            *UsageApi(self._store, self._gate.authorize).routes(),
+            *UsageApi(self._store, self._operator_authorizer.authorize).routes(),
             make_metrics_route(metrics),
         ]
         handlers = {HTTPException: answer_http_error, Exception: answer_internal_error}
--- a/berylproxy/records/api.py
+++ b/berylproxy/records/api.py
@@ -41,7 +41,7 @@
 
     :param authorize: raises a :class:`BerylproxyError` unless an operator sent the request.
     """
-    interface = RecordInterface(view, editor)
+    api = RecordApi(view, editor)
 
     def guard(handler: Handler) -> Handler:
         async def handle(request: Request) -> Response:
@@ -53,17 +53,17 @@
 
         return handle
 
-    one = "/v1/records/{kind}/{name}"
+    record_path = "/v1/records/{kind}/{name}"
     return [
-        Route("/v1/records/validate", guard(interface.validate), methods=["POST"]),
-        Route("/v1/records/{kind}", guard(interface.list_records), methods=["GET"]),
-        Route(one, guard(interface.get_record), methods=["GET"]),
-        Route(one, guard(interface.put_record), methods=["PUT"]),
-        Route(one, guard(interface.delete_record), methods=["DELETE"]),
+        Route("/v1/records/validate", guard(api.validate), methods=["POST"]),
+        Route("/v1/records/{kind}", guard(api.list_records), methods=["GET"]),
+        Route(record_path, guard(api.get_record), methods=["GET"]),
+        Route(record_path, guard(api.put_record), methods=["PUT"]),
+        Route(record_path, guard(api.delete_record), methods=["DELETE"]),
     ]
 
 
-class RecordInterface:
+class RecordApi:
     """HTTP handlers for the operators' requests."""
 
     def __init__(self, view: RecordView, editor: RecordEditor) -> None:
--- a/berylproxy/records/editor.py
+++ b/berylproxy/records/editor.py
@@ -214,8 +214,8 @@
         except StoreError:
             pass
         if revision is None:
-            known = self._view.find(change.key)
-            revision = known.entry.revision if known else ABSENT_REVISION
+            viewed_record = self._view.find(change.key)
+            revision = viewed_record.entry.revision if viewed_record else ABSENT_REVISION
         return make_conflict(change, revision)
 
     async def _resolve_outcome(self, change: Change) -> int:
@@ -234,8 +234,8 @@
                         return revision
                     return await self._send_change(change)
                 except StoreError:
-                    # After a conflict, the next read shows whether the first write took effect or
-                    # that of another operator. After any other error, the outcome is still unknown.
+                    # A conflict means that the first write or another operator's took effect in the
+                    # meantime; the next read shows which. Any other error proves nothing.
                     await anyio.sleep(self._timeouts.read_back_interval_s)
         raise make_outcome_unknown(change, "the store did not answer in time")
 
--- a/berylproxy/records/schemas.py
+++ b/berylproxy/records/schemas.py
@@ -206,9 +206,9 @@
     try:
         return RecordKind(kind)
     except ValueError:
-        known = ", ".join(RecordKind)
+        known_kinds = ", ".join(RecordKind)
         raise RecordKindUnknownError(
-            f"no such kind of record: {kind!r:.80}", hint=f"known kinds: {known}"
+            f"no such kind of record: {kind!r:.80}", hint=f"known kinds: {known_kinds}"
         ) from None
 
 
@@ -237,10 +237,11 @@
         raise RecordInvalidError(subject, (problem,))
     schemas = SCHEMAS[kind]
     if version not in schemas:
-        known = ", ".join(str(known) for known in schemas)
+        known_versions = ", ".join(str(known_version) for known_version in schemas)
         raise SchemaVersionUnknownError(
             f"{subject}: schema_version: not supported by this daemon",
-            hint=f"known versions of {kind}: {known}; upgrade all daemons before using a newer one",
+            hint=f"known versions of {kind}: {known_versions}; "
+            "upgrade all daemons before using a newer one",
         )
     return schemas[version]
 
--- a/berylproxy/records/watcher.py
+++ b/berylproxy/records/watcher.py
@@ -27,7 +27,7 @@
     STARTING = "starting"
     FOLLOWING = "following"
     UNAVAILABLE = "store_unavailable"
-    REVERTED = "store_reverted"  # raises an alarm: the store lost writes that are in force here
+    REVERTED = "store_reverted"  # an alarm: the store lost writes that are in force here
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,21 +48,21 @@
     call_timeout_s: float = 10.0
 
 
-def find_rollback_evidence(listing: Listing, known: ViewSnapshot) -> str:
+def find_rollback_evidence(listing: Listing, snapshot: ViewSnapshot) -> str:
     """Finds evidence that the store lost a write that was known before the listing was requested.
 
     Returns a description of the evidence, or an empty string.
 
-    :param known: the view's contents from before the request.
+    :param snapshot: the view's contents from before the listing was requested.
     """
-    if listing.revision < known.revision:
-        return f"the store is at revision {listing.revision}, {known.revision} is in force"
-    if CREATION_MARKER_KEY in known.entries and all(
+    if listing.revision < snapshot.revision:
+        return f"the store is at revision {listing.revision}, {snapshot.revision} is in force"
+    if CREATION_MARKER_KEY in snapshot.entries and all(
         entry.key != CREATION_MARKER_KEY for entry in listing.entries
     ):
         return "the marker of the last created record is missing"
     for entry in listing.entries:
-        known_entry = known.entries.get(entry.key)
+        known_entry = snapshot.entries.get(entry.key)
         if known_entry and entry.revision < known_entry.revision:
             return f"{entry.key}: stored {entry.revision}, in force {known_entry.revision}"
         if (
@@ -71,8 +71,8 @@
             and entry.value != known_entry.value
         ):
             return f"{entry.key}: another value at revision {entry.revision}"
-        if entry.revision < known.tombstones.get(entry.key, 0):
-            return f"{entry.key}: deleted at {known.tombstones[entry.key]}, yet stored"
+        if entry.revision < snapshot.tombstones.get(entry.key, 0):
+            return f"{entry.key}: deleted at {snapshot.tombstones[entry.key]}, yet stored"
     return ""
 
 
@@ -131,9 +131,9 @@
             await anyio.sleep(self._backoff.choose_delay_s())
 
     async def _follow(self) -> None:
-        known = self._view.take_snapshot()
+        snapshot = self._view.take_snapshot()
         listing = await self._list()
-        rollback_evidence = find_rollback_evidence(listing, known)
+        rollback_evidence = find_rollback_evidence(listing, snapshot)
         if rollback_evidence:
             self._set_state(StoreState.REVERTED, rollback_evidence)
             return
--- a/berylproxy/store/errors.py
+++ b/berylproxy/store/errors.py
@@ -10,7 +10,7 @@
 
 
 class StoreLeaseLapsedError(StoreError):
-    """The lease of the write has expired; nothing was written."""
+    """The lease of the write has expired or was revoked; nothing was written."""
 
     code = "store_lease_lapsed"
 
--- a/berylproxy/store/etcd.py
+++ b/berylproxy/store/etcd.py
@@ -74,7 +74,8 @@
 
     :param base_urls: one or several base URLs of the same service.
     :param timeout_s: timeout of each call, including the attempts at all base URLs.
-    :ivar preferred_index: index of the base URL that is called first.
+    :ivar preferred_index: index of the base URL that is called first; moves on when a URL fails, so
+        that calls start with the one that answered last.
     """
 
     def __init__(self, base_urls: Sequence[str], timeout_s: float) -> None:
--- a/berylproxy/usage/__init__.py
+++ b/berylproxy/usage/__init__.py
@@ -1,1 +1,1 @@
-"""What each owner's endpoints have done, for billing."""
+"""Counts of the work that each owner's endpoints have finished, for billing."""
--- a/tests/cli/commands.feature
+++ b/tests/cli/commands.feature
@@ -28,7 +28,7 @@
     When the user runs "get pools --url http://127.0.0.1:1"
     Then berylctl exits with CANNOT_CONNECT and the error "cannot_connect"
 
-  Scenario: Made tasks are submitted and answered, with seeded run times
+  Scenario: Generated tasks are submitted and answered, with seeded run times
     When the user runs "submit --service s --count 310 --run-time-s 0.05:1 --seed 7"
     And the user runs "submit --service s --count 310 --run-time-s 0.05:1 --seed 7"
     Then berylctl exits with SUCCESS and prints "t310"
--- a/tests/collect/single_answer.feature
+++ b/tests/collect/single_answer.feature
@@ -30,9 +30,9 @@
     And no task of proving job "A" has started
     And the history meets all conditions
 
-  Scenario: a job is asked for before its submission arrives
+  Scenario: a job is fetched before its submission arrives
     When proving job "A" of 3 tasks of 0.05 s gets an id of daemon 0
-    And proving job "A" is asked for at daemon 1
+    And proving job "A" is fetched at daemon 1
     And proving job "A" is submitted again to daemon 2
     Then answer 1 of proving job "A" is "outcome_unknown" with code "job_not_found"
     And answer 2 of proving job "A" is "done"
--- a/tests/environment.py
+++ b/tests/environment.py
@@ -5,7 +5,7 @@
 
 
 def before_scenario(context, scenario):
-    """Creates a folder for the logs of the scenario's processes."""
+    """Creates a folder for the logs of the scenario's processes; it is kept after the scenario."""
     context.folder = Path(mkdtemp(prefix="berylproxy-"))
 
 
--- a/tests/send/single_delivery.feature
+++ b/tests/send/single_delivery.feature
@@ -56,7 +56,7 @@
   Scenario: streams between daemons break in mid-message
     When the links between daemons pass 64 KiB in 0.02 s
     And proving job "A" of 1 task of 6000000 bytes with home 0 is submitted to daemon 1
-    And all links between daemons are cut after 0.5 s and mended
+    And all links between daemons are cut after 0.5 s and restored
     Then answer 1 of proving job "A" is "done"
     And every task of proving job "A" has started once
     And the history meets all conditions
--- a/tests/steps/daemon_steps.py
+++ b/tests/steps/daemon_steps.py
@@ -60,8 +60,8 @@
     context.tasks = make_tasks(count, shortest, longest, seed)
     daemons = range(len(context.cluster.daemons))
     ids = [mint(context, daemon) for daemon in daemons]
-    with ThreadPoolExecutor(len(ids)) as pool:
-        answers = pool.map(
+    with ThreadPoolExecutor(len(ids)) as executor:
+        answers = executor.map(
             lambda daemon: submit(context, daemon, ids[daemon], context.tasks), daemons
         )
         context.responses = list(answers)
--- a/tests/steps/proving_steps.py
+++ b/tests/steps/proving_steps.py
@@ -147,7 +147,7 @@
     call.result(ANSWER_TIMEOUT_S)
 
 
-@when('proving job "{name}" is asked for at daemon {daemon:d}')
+@when('proving job "{name}" is fetched at daemon {daemon:d}')
 def step_fetch(context, name, daemon):
     job = context.named_jobs[name]
     call = context.caller.start_in_background(context.caller.fetch, job, daemon)
@@ -218,7 +218,7 @@
         context.cluster.control(relay, delay_s=delay_s)
 
 
-@when("all links between daemons are cut after {after_s:g} s and mended")
+@when("all links between daemons are cut after {after_s:g} s and restored")
 def step_cut_and_restore_links(context, after_s):
     sleep(after_s)
     context.cluster.cut_links(*range(len(context.cluster.daemons)))
--- a/tests/steps/records_editor_steps.py
+++ b/tests/steps/records_editor_steps.py
@@ -17,7 +17,7 @@
 
 
 @given("the record store loses the answer to the next write of a creation marker")
-def step_lose_mark_answer(context):
+def step_lose_marker_answer(context):
     context.cluster.store.never_lost_key = ""
     context.cluster.store.lost_answers = 1
 
--- a/tests/support/fake_daemon.py
+++ b/tests/support/fake_daemon.py
@@ -230,9 +230,9 @@
     def _refuse_change(self, request: Request) -> Response | None:
         if self.cluster.store_is_down:
             return make_error("", "not_run", "record_store_unavailable", 503, RETRY_AFTER_S)
-        held = self.cluster.records.get(read_key(request))
+        stored = self.cluster.records.get(read_key(request))
         expected = request.headers.get("If-Match")
-        if expected != (f'"{held[0]}"' if held else None):
+        if expected != (f'"{stored[0]}"' if stored else None):
             return make_error("", "not_run", "record_conflict", 412, None)
         return None
 
--- a/tests/support/proving_cluster.py
+++ b/tests/support/proving_cluster.py
@@ -135,9 +135,9 @@
 
     def read_peer_status(self, daemon: int, peer: int) -> str:
         """Returns a peer's status in a daemon's member list; empty if the peer isn't listed."""
-        for known in self.read_status(daemon)["peers"]:
-            if known["daemon_id"] == f"d{peer}":
-                return known["status"]
+        for listed_peer in self.read_status(daemon)["peers"]:
+            if listed_peer["daemon_id"] == f"d{peer}":
+                return listed_peer["status"]
         return ""
 
     def collect_events(self, history: History) -> None:
--- a/tests/support/recording_caller.py
+++ b/tests/support/recording_caller.py
@@ -28,7 +28,7 @@
         self.cluster = cluster
         self.history = history
         self._lock = Lock()
-        self._pool = ThreadPoolExecutor(MAX_CALLS_AT_ONCE)
+        self._executor = ThreadPoolExecutor(MAX_CALLS_AT_ONCE)
         self._client = Client(
             trust_env=False,
             timeout=timeout_s,
@@ -37,12 +37,12 @@
 
     def close(self) -> None:
         """Waits for all calls to end."""
-        self._pool.shutdown()
+        self._executor.shutdown()
         self._client.close()
 
     def start_in_background(self, call: Callable[..., Any], *arguments: Any) -> Future:
         """Runs a call in the background."""
-        return self._pool.submit(call, *arguments)
+        return self._executor.submit(call, *arguments)
 
     def mint(self, daemon: int) -> str:
         """Requests an identifier whose home is the daemon."""
--- a/tests/usage/recorder.feature
+++ b/tests/usage/recorder.feature
@@ -8,7 +8,7 @@
     And the usage is recorded
     Then the sum over all reports is 5 tasks of "alder"
 
-  Scenario: The answer is lost and the store goes out at once
+  Scenario: The answer is lost and the store becomes unavailable at once
     Given a usage recorder with 3 answered tasks of "alder"
     When the answer to the next write is lost and the store becomes unavailable
     And the usage is recorded
