--- a/tests/steps/proving_steps.py
+++ b/tests/steps/proving_steps.py
@@ -147,7 +147,7 @@
     call.result(ANSWER_TIMEOUT_S)
 
 
-@when('proving job "{name}" is asked for at daemon {daemon:d}')
+@when('proving job "{name}" is fetched at daemon {daemon:d}')
 def step_fetch(context, name, daemon):
     job = context.named_jobs[name]
     call = context.caller.start_in_background(context.caller.fetch, job, daemon)
