--- a/berylproxy/durable/models.py
+++ b/berylproxy/durable/models.py
@@ -24,9 +24,9 @@
     DONE = "done"
     FAILED = "failed"
     STOPPED = "stopped"
-    LAPSED = "lapsed"
-    BROKEN = "broken"
-    ALONE = "alone"
+    LAPSED = "lapsed"  # its lease expired
+    BROKEN = "broken"  # another task of the same gang ended first
+    ALONE = "alone"  # the other tasks of its gang did not start in time
 
 
 @dataclass(frozen=True, slots=True)
